--- a/crates/ryetide-core/src/decision.rs
+++ b/crates/ryetide-core/src/decision.rs
@@ -1,72 +1,72 @@
-//! What a scheduler decides about waiting requests, and what it is told of placed ones.
+//! The decisions of a scheduler about waiting requests, and the ends of assigned ones.
 
 use std::time::Duration;
 
 use crate::{ids::RequestSequence, placing::PlacingForecast, target_load::TargetEntry};
 
-/// Why a request that has not run is told to come back.
+/// Why a request that has not run is refused with a retry delay.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RefusalReason {
     /// The service has no target.
     NoTarget,
-    /// All targets of the service want nothing until its caller would have left.
+    /// All targets of the service have requested back-off until after the caller stops waiting.
     HeldOff,
-    /// The line is so long that its caller would have left before its turn.
+    /// The queue is so long that the request could not be served in time.
     Overload,
-    /// Its caller is about to leave, and it still waits.
+    /// The request still waits and its caller is about to stop waiting.
     OutOfTime,
 }
 
-/// Why a placed request is not under way any more.
+/// How an assigned request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunEnd {
     /// The whole answer was passed on.
     Whole,
-    /// The target failed it.
+    /// The target failed the request.
     Failed,
-    /// The target was full or leaving, and said that it did not run.
+    /// The target was full or leaving, and reported that the request did not run.
     TurnedAway,
     /// The target could not be reached; nothing was sent.
     Unreachable,
-    /// The caller left, or this VM gave it up.
+    /// The caller disconnected, or this VM cancelled the request.
     Abandoned,
 }
 
-/// What the figures were that decided a placement.
+/// The figures behind a placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacingEvidence {
-    /// What was expected at the target chosen.
+    /// What was expected at the chosen target.
     pub forecast: PlacingForecast,
-    /// Requests running there, of all VMs.
+    /// Requests of all VMs that ran at the target.
     pub running: u32,
-    /// Requests waiting here.
+    /// Requests that waited at this VM.
     pub line: usize,
-    /// Whether it had missed its objective already.
+    /// Whether the request had already missed its objective.
     pub late: bool,
 }
 
-/// What to do about a waiting request.
+/// What to do with a waiting request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it to this target.
+    /// Send the request to this target.
     Place {
         /// The request.
         ticket: RequestSequence,
         /// The target.
         target: TargetEntry,
-        /// What decided.
+        /// The figures behind the placement.
         evidence: PlacingEvidence,
     },
-    /// Tell its caller to come back; it has not run.
+    /// Refuse the request, which has not run, with a retry delay.
     Refuse {
         /// The request.
         ticket: RequestSequence,
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// When to come back.
+        /// The delay after which the caller should retry.
         retry_after: Duration,
-        /// Requests that waited here.
+        /// Requests that waited at this VM.
         line: usize,
     },
 }
--- a/crates/ryetide-core/src/line_view.rs
+++ b/crates/ryetide-core/src/line_view.rs
@@ -1,7 +1,8 @@
-//! What can be done about a service's line at one moment: who goes where, who is told to come back.
+//! Decides what can be done about one service's queue at one moment: which request goes to which
+//! target, and which is refused.
 //!
-//! A [`LineView`] only looks. It answers the loads that hurt most: a burst that the targets cannot
-//! begin in time, and the hour in which a part of them is gone.
+//! A [`LineView`] is read-only. Its rules are made for overload: bursts that the targets cannot
+//! start in time, and the loss of a part of the targets.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,37 +21,37 @@
     wait_line::{LineRank, WaitLine, WaitingWork},
 };
 
-/// Time that an answer needs to reach a caller before it leaves.
-const LEAVE_MARGIN: Duration = Duration::from_millis(150);
+/// Time reserved for a refusal to reach a caller before the caller stops waiting.
+const REFUSAL_MARGIN: Duration = Duration::from_millis(150);
 
-/// Targets of a service that a VM uses.
+/// The targets of a service that a VM uses.
 #[derive(Clone, Debug, Default)]
 pub struct UsedTargets {
     /// The targets.
     pub keys: Vec<TargetKey>,
-    /// Whether only the VMs of this VM's cell use them.
+    /// Whether only the VMs of this VM's cell use these targets.
     pub is_dealt: bool,
 }
 
-/// The line of a service and how long its places are held.
+/// The queue of a service, its targets, and the observed load.
 #[derive(Debug)]
 pub struct ServiceLine {
     /// The service.
     pub key: ServiceKey,
-    /// Who waits.
+    /// The waiting requests.
     pub line: WaitLine,
     /// The targets that this VM uses.
     pub targets: UsedTargets,
-    /// Targets of a version on trial, which get a bounded share.
+    /// Targets of a version on trial, which receive a bounded share of the requests.
     pub trial: UsedTargets,
-    /// The mean time that requests hold a place; none before any was observed.
+    /// The mean time that a request occupies a slot; `None` until one was observed.
     pub hold: Option<Duration>,
-    /// What has come lately.
+    /// Recent arrivals.
     pub arrivals: RecentArrivals,
 }
 
 impl ServiceLine {
-    /// Creates the line of a service of which nothing is known.
+    /// Creates the empty queue of a service without observations.
     pub fn new(service: &ServiceName) -> Self {
         Self {
             key: ServiceKey::of(service),
@@ -63,54 +64,55 @@
     }
 }
 
-/// Something that can be done about a request in line.
+/// An action that is possible for a waiting request.
 #[derive(Clone, Copy, Debug)]
 pub enum LineChoice {
-    /// It goes to this target.
+    /// Send it to this target.
     Place {
         /// The request.
         ticket: RequestSequence,
         /// The target.
         target: TargetKey,
-        /// What decided.
+        /// The figures behind the placement.
         evidence: PlacingEvidence,
     },
-    /// Its caller is told to come back.
+    /// Refuse it with a retry delay.
     Refuse {
         /// The request.
         ticket: RequestSequence,
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
     },
 }
 
-/// A service's line and the targets that may get new work, at one moment.
+/// A service's queue and the targets that accept new work, at one moment.
 pub struct LineView<'a> {
     now: Moment,
     state: &'a ServiceLine,
     usable: Vec<&'a TargetLoad>,
-    /// Targets of a version on trial, when one more request may go there.
+    /// Targets of a version on trial, if one more request may go there.
     trial: Vec<&'a TargetLoad>,
-    /// Until when the targets that stay want nothing, where none is usable and all of them have said so.
+    /// When the first back-off ends, if no target is usable and all targets that are not leaving
+    /// have requested back-off.
     held_until: Option<Moment>,
-    /// How much this VM may send to each of the targets that stay, where all of them name a limit.
+    /// This VM's limits for the targets that are not leaving, if all of them set a limit.
     limits: Option<Vec<TargetLimit>>,
     peers: &'a PeerBoard,
     options: &'a SchedulerOptions,
     sharing: PlaceSharing,
 }
 
-/// How the VMs of a cell share the places of their targets.
+/// How the VMs of a cell share the slots of their targets.
 #[derive(Clone, Copy, Debug)]
 pub struct PlaceSharing {
-    /// How many VMs there are, this one included.
+    /// Number of VMs, including this one.
     pub vms: u32,
-    /// How long a VM's turn is at a place that has come free.
+    /// How long a VM's turn at a freed slot lasts.
     pub turn_span: Duration,
 }
 
 impl<'a> LineView<'a> {
-    /// Looks at a line.
+    /// Creates a view of a service's queue.
     pub fn new(
         now: Moment,
         state: &'a ServiceLine,
@@ -123,12 +125,12 @@
             state.targets.keys.iter().filter_map(|key| targets.get(key)).collect();
         let limits = limits_of(&loads);
         let (usable, others): (Vec<_>, Vec<_>) = loads.iter().partition(|load| load.may_get(now));
-        let held_until = if usable.is_empty() { first_held_until(now, &others) } else { None };
+        let held_until = if usable.is_empty() { first_back_off_end(now, &others) } else { None };
         let trial = Vec::new();
         Self { now, state, usable, trial, held_until, limits, peers, options, sharing }
     }
 
-    /// Lets one request go to these targets, of a version that is on trial.
+    /// Allows one request to go to these targets, which run a version on trial.
     pub fn with_trial(
         mut self,
         keys: &[TargetKey],
@@ -139,31 +141,32 @@
         self
     }
 
-    /// Returns until when all targets want nothing, if that is why none gets new work.
+    /// Returns when the first back-off ends, if all targets requested back-off and none accepts
+    /// work for that reason.
     pub fn held_until(&self) -> Option<Moment> {
         self.held_until
     }
 
-    /// Returns how many places are free.
+    /// Returns the number of free slots.
     pub fn free_places(&self) -> u32 {
         self.usable.iter().map(|load| load.free_places(self.now)).sum()
     }
 
-    /// Finds the first request in line about which something can be done.
+    /// Returns the action for the first waiting request for which one is possible.
     pub fn next_choice(&self) -> Option<LineChoice> {
         if self.state.line.is_empty() {
             return None;
         }
-        let free = self.free_places();
+        let free_slots = self.free_places();
         let peers = self.peers.claimants(self.now, self.state.key);
         let ordered = self.ordered().into_iter().enumerate();
-        let mut ordered = ordered.map(|(place, (rank, work))| (place, rank, work));
-        ordered.find_map(|(place, rank, work)| {
-            if self.is_passed_by(place, rank, work) {
+        let mut ordered = ordered.map(|(position, (rank, work))| (position, rank, work));
+        ordered.find_map(|(position, rank, work)| {
+            if self.will_be_overtaken(position, rank, work) {
                 let (ticket, reason) = (work.ticket, RefusalReason::Overload);
                 return Some(LineChoice::Refuse { ticket, reason });
             }
-            self.choice_for(rank, work, free, &peers)
+            self.choice_for(rank, work, free_slots, &peers)
         })
     }
 
@@ -171,15 +174,15 @@
         &self,
         rank: LineRank,
         work: &WaitingWork,
-        free: u32,
+        free_slots: u32,
         peers: &[PlaceClaimant<'_>],
     ) -> Option<LineChoice> {
         let ticket = work.ticket;
         if let Some(reason) = self.refusal_of(work) {
             return Some(LineChoice::Refuse { ticket, reason });
         }
-        let on_trial = self.choose_on_trial(rank, work, peers);
-        if on_trial.is_none() && free == 0 {
+        let on_trial = self.choose_trial_target(rank, work, peers);
+        if on_trial.is_none() && free_slots == 0 {
             return None;
         }
         let (load, forecast) = on_trial.or_else(|| self.choose(rank, work, peers))?;
@@ -189,31 +192,33 @@
     }
 
     fn refusal_of(&self, work: &WaitingWork) -> Option<RefusalReason> {
-        if self.now + LEAVE_MARGIN >= work.leave_at {
+        if self.now + REFUSAL_MARGIN >= work.leave_at {
             return Some(RefusalReason::OutOfTime);
         }
-        // Held in line until then, its caller would be told the same at the end of its patience.
-        if self.held_until.is_some_and(|until| until + LEAVE_MARGIN >= work.leave_at) {
+        // If it stayed queued, its caller would receive the same refusal just before it stops
+        // waiting.
+        if self.held_until.is_some_and(|until| until + REFUSAL_MARGIN >= work.leave_at) {
             return Some(RefusalReason::HeldOff);
         }
-        // Another VM may send what this one may not, and its caller finds that one when it comes back.
+        // Another VM may send requests that this one may not, and the caller's retry can reach that
+        // VM.
         let is_elsewhere =
             |limits: &Vec<TargetLimit>| limits.iter().all(|limit| *limit == TargetLimit::Elsewhere);
         if self.limits.as_ref().is_some_and(is_elsewhere) {
             return Some(RefusalReason::HeldOff);
         }
-        if self.gives_way(work) {
+        if self.is_late_behind_others(work) {
             return Some(RefusalReason::Overload);
         }
         self.state.targets.keys.is_empty().then_some(RefusalReason::NoTarget)
     }
 
     fn ordered(&self) -> Vec<(LineRank, &'a WaitingWork)> {
-        self.state.line.ordered(self.now, |work| self.best_first(work))
+        self.state.line.ordered(self.now, |work| self.earliest_first_event(work))
     }
 
     /// The time from a dispatch to the first event at the fastest target.
-    fn best_first(&self, work: &WaitingWork) -> Duration {
+    fn earliest_first_event(&self, work: &WaitingWork) -> Duration {
         let overhead = self.options.assumed.overhead;
         let first = |load: &&TargetLoad| match work.engine {
             true => overhead + load.estimate().reading_time(work.prompt.0),
@@ -222,47 +227,52 @@
         self.usable.iter().map(first).min().unwrap_or_default()
     }
 
-    /// Whether a request has missed its objective while others that can still meet theirs wait.
+    /// Whether a request has missed its objective while requests that can still meet theirs wait.
     ///
-    /// It would stay behind all of those, and its caller would mostly be told at the end of its
-    /// patience what can be told now: of 1,082 refusals of a day with two bursts, 428 came after three
-    /// to four seconds. Told at once, and at its arrival where the line shows it, a caller comes back
-    /// when there is room: 0.69 to 0.72 of that day's requests were then served, and 0.64 before.
-    fn gives_way(&self, work: &WaitingWork) -> bool {
-        let missed_at = work.objective_at.before(self.best_first(work));
-        let let_in_late = missed_at <= work.arrived && !work.came_back;
-        if work.begun || let_in_late || self.now <= missed_at {
+    /// It would stay behind all of those, and would mostly be refused just before its caller stops
+    /// waiting. An early refusal, at arrival where the queue already shows it, lets the caller
+    /// retry when slots are free, so that more requests are served in a burst.
+    fn is_late_behind_others(&self, work: &WaitingWork) -> bool {
+        let missed_at = work.objective_at.before(self.earliest_first_event(work));
+        let accepted_late = missed_at <= work.arrived && !work.came_back;
+        if work.begun || accepted_late || self.now <= missed_at {
             return false;
         }
         let can_meet =
-            |other: &WaitingWork| self.now + self.best_first(other) <= other.objective_at;
+            |other: &WaitingWork| self.now + self.earliest_first_event(other) <= other.objective_at;
         self.state.line.iter().any(can_meet) || self.peers_ahead(ClaimClass::LEAST_ON_TIME) > 0
     }
 
-    /// Whether a request that stands at `place` of this VM's line could still be on time by itself, and will not be
-    /// for those before it. Its caller is told when that is known, and not when the objective is missed: it has the
-    /// more time left to come back. The first in line stays, so that a place which comes free finds somebody.
+    /// Whether a request at `position` of this VM's queue would meet its objective alone, but will
+    /// miss it because of the requests ahead.
     ///
-    /// In a burst of three times the usual before the load test's engines, the least urgent callers who are refused are
-    /// told after 40 to 60 ms in the mean, and after 360 ms without this and without counting those that come later;
-    /// as many are on time.
-    fn is_passed_by(&self, place: usize, rank: LineRank, work: &WaitingWork) -> bool {
-        if place == 0 || rank.late || work.begun {
+    /// Refusing it as soon as this is known, rather than when the objective is missed, leaves the
+    /// caller more time to retry. In a burst, callers of the least urgent requests are refused
+    /// after a small part of the objective instead of most of it, and as many requests are on time.
+    /// The first request in the queue stays, so that a freed slot is used.
+    fn will_be_overtaken(&self, position: usize, rank: LineRank, work: &WaitingWork) -> bool {
+        if position == 0 || rank.late || work.begun {
             return false;
         }
         let peers = self.ahead_at_peers(rank.class());
-        // Of those that are as urgent, those that came later stand behind.
-        let ahead = as_count(place).saturating_add(peers.better + peers.equal / 2);
-        self.now + self.wait_behind(ahead, Some(rank)) + self.best_first(work) > work.objective_at
+        // Assumes that half of the equally urgent requests at peers arrived later and stand behind.
+        let ahead = as_count(position).saturating_add(peers.better + peers.equal / 2);
+        self.now + self.wait_behind(ahead, Some(rank)) + self.earliest_first_event(work)
+            > work.objective_at
     }
 
-    /// Whether a target has a place that a request of this rank may take now.
-    fn is_open(&self, load: &TargetLoad, rank: LineRank, peers: &[PlaceClaimant<'_>]) -> bool {
-        let place = OpenPlace { target: load.key(), freed: load.freed() };
+    /// Whether a target has a free slot that a request of this rank may take now.
+    fn has_open_slot(
+        &self,
+        load: &TargetLoad,
+        rank: LineRank,
+        peers: &[PlaceClaimant<'_>],
+    ) -> bool {
+        let slot = OpenPlace { target: load.key(), freed: load.freed() };
         let own = PlaceClaimant { vm: &self.options.name, class: rank.class() };
-        // Where a target names a limit, each VM has its own part of it.
+        // A target that sets a limit gives each VM its own share, so no turns are needed.
         let is_turn = load.limit() != TargetLimit::None
-            || place_turn::is_turn(self.now, self.sharing.turn_span, place, own, peers);
+            || place_turn::is_turn(self.now, self.sharing.turn_span, slot, own, peers);
         load.free_places(self.now) > 0 && is_turn
     }
 
@@ -271,8 +281,8 @@
         better + equal
     }
 
-    /// The requests at peers that may get a place before one of this class. None does where each VM has its own part of
-    /// what the targets take.
+    /// Counts the requests at peers that may get a slot before one of this class. It counts none
+    /// where every target gives each VM its own share of a limit.
     fn ahead_at_peers(&self, class: ClaimClass) -> AheadCount {
         if self.limits.is_some() {
             return AheadCount::default();
@@ -280,9 +290,9 @@
         self.peers.ahead(self.now, self.state.key, class)
     }
 
-    /// Chooses a target of the version on trial. A request that was sent before does not go there: one caller is not
-    /// tried on twice.
-    fn choose_on_trial(
+    /// Chooses a target of the version on trial. A request that was dispatched before is not sent
+    /// there, so that no caller is exposed to a trial twice.
+    fn choose_trial_target(
         &self,
         rank: LineRank,
         work: &WaitingWork,
@@ -291,7 +301,7 @@
         if self.trial.is_empty() || work.begun || !work.excluded.is_empty() {
             return None;
         }
-        let open = self.trial.iter().filter(|load| self.is_open(load, rank, peers));
+        let open = self.trial.iter().filter(|load| self.has_open_slot(load, rank, peers));
         self.best_of(open.copied(), &self.need_of(work))
     }
 
@@ -318,7 +328,7 @@
         }
     }
 
-    /// Chooses the target for a request, or nothing when it does better to wait.
+    /// Chooses the target for a request, or `None` if waiting is expected to serve it better.
     fn choose(
         &self,
         rank: LineRank,
@@ -330,50 +340,53 @@
         let (own, assumed) = (&self.options.data_centre, &self.options.assumed);
         let permitted = self.usable.iter().filter(|load| !work.excluded.contains(&load.key()));
         let all = permitted.map(|load| (*load, placing::forecast(now, load, &need, own, assumed)));
-        let (open, taken): (Vec<_>, Vec<_>) =
-            all.partition(|(load, _)| self.is_open(load, rank, peers));
-        let best = open.into_iter().min_by_key(place_order)?;
+        let (open, busy): (Vec<_>, Vec<_>) =
+            all.partition(|(load, _)| self.has_open_slot(load, rank, peers));
+        let best = open.into_iter().min_by_key(preference_order)?;
         let (_, forecast) = best;
         let in_time = forecast.keeps_pauses && forecast.first < need.objective_left;
         if forecast.on_time || (in_time && !forecast.doubtful) {
             return Some(best);
         }
-        // No free place serves it on time. One that is taken may yet; and a late answer to one caller is
-        // not worth the pauses of all whose streams run beside it.
+        // No target with a free slot serves the request on time, but a busy one may do so later. A
+        // late request also waits if the free slot would delay the streams that run beside it: one
+        // late answer costs less than pauses in all of those streams.
         let better = |load: &TargetLoad, it: &PlacingForecast| match rank.late {
             true => it.keeps_pauses && !forecast.keeps_pauses,
             false => {
-                let wait = self.place_wait(load);
+                let wait = self.slot_wait(load);
                 it.keeps_pauses && !it.doubtful && it.first + wait < need.objective_left
             }
         };
-        let worth_waiting = taken.iter().any(|(load, it)| better(load, it));
+        let worth_waiting = busy.iter().any(|(load, it)| better(load, it));
         (!worth_waiting).then_some(best)
     }
 
-    /// The time until one of a target's places is given back, when all are taken.
-    fn place_wait(&self, load: &TargetLoad) -> Duration {
+    /// The expected time until a busy target frees one of its slots.
+    fn slot_wait(&self, load: &TargetLoad) -> Duration {
         self.state.hold.unwrap_or_default() / load.entry().slots.max(1)
     }
 
-    /// Whether a request that has just joined would miss its objective behind the line, or its caller
-    /// would have left before its turn: told at once, it can come back when the burst is over. One that
-    /// must miss its objective in any case, for the length of its prompt, is let in.
+    /// Whether a request that has just joined the queue would miss its objective because of the
+    /// queue, or would still wait when its caller stops waiting. Refused at once, its caller can
+    /// retry after the burst.
+    ///
+    /// A request that must miss its objective in any case, because its prompt is long, is accepted.
     pub fn is_hopeless(&self, ticket: RequestSequence) -> bool {
         let Some(work) = self.state.line.iter().find(|work| work.ticket == ticket) else {
             return false;
         };
-        let best = self.best_first(work);
+        let best = self.earliest_first_event(work);
         let rank = work.rank(self.now, best);
         let wait = self.expected_wait(Some(rank));
         let first_at = self.now + wait + best;
-        let leaves = first_at + LEAVE_MARGIN > work.leave_at;
-        leaves || (!rank.late && !wait.is_zero() && first_at > work.objective_at)
+        let caller_leaves = first_at + REFUSAL_MARGIN > work.leave_at;
+        caller_leaves || (!rank.late && !wait.is_zero() && first_at > work.objective_at)
     }
 
-    /// Returns the time until a request of this rank, or of the last rank, gets a place. Nothing is
-    /// expected before any place was given back: a time that is only assumed is no ground to refuse
-    /// anybody.
+    /// Returns the time until a request of this rank, or of the last rank, gets a slot. The time is
+    /// zero until a request was observed to free its slot, since an assumed time must not cause
+    /// refusals.
     pub fn expected_wait(&self, rank: Option<LineRank>) -> Duration {
         let before = |other: LineRank| rank.is_none_or(|rank| other < rank);
         let own = self.ordered().iter().filter(|(other, _)| before(*other)).count();
@@ -385,26 +398,27 @@
         self.wait_behind(as_count(own).saturating_add(peers), rank)
     }
 
-    /// The time until `ahead` requests have got a place, and those that come meanwhile and are more urgent than `rank`.
+    /// The time until slots were assigned to `ahead` requests and to the more urgent ones that
+    /// arrive meanwhile.
     fn wait_behind(&self, ahead: u32, rank: Option<LineRank>) -> Duration {
-        let places: u32 = self.usable.iter().map(|load| load.entry().slots).sum();
+        let slots: u32 = self.usable.iter().map(|load| load.entry().slots).sum();
         let hold = self.state.hold.unwrap_or_default();
         if let Some(limits) = &self.limits {
             let first = self.held_until.map_or(Duration::ZERO, |until| until.since(self.now));
             return first + limit_part::time_for(ahead as usize, limits.iter());
         }
-        let wait = hold.saturating_mul(ahead) / places.max(1);
+        let wait = hold.saturating_mul(ahead) / slots.max(1);
         let Some(rank) = rank else { return wait };
         let rate = self.state.arrivals.more_urgent_rate(self.now, rank.class());
-        let held = rate * f64::from(self.sharing.vms) * hold.as_secs_f64();
-        wait.mul_f64(recent_arrivals::stretch(held / f64::from(places.max(1))))
+        let busy = rate * f64::from(self.sharing.vms) * hold.as_secs_f64();
+        wait.mul_f64(recent_arrivals::stretch(busy / f64::from(slots.max(1))))
     }
 
-    /// Returns what peers are told of the line.
+    /// Returns the counts of waiting requests that peers receive.
     pub fn wait_marks(&self) -> Vec<WaitMark> {
         let mut marks: BTreeMap<ClaimClass, u16> = BTreeMap::new();
         for work in self.state.line.iter() {
-            let rank = work.rank(self.now, self.best_first(work));
+            let rank = work.rank(self.now, self.earliest_first_event(work));
             let count = marks.entry(rank.class()).or_default();
             *count = count.saturating_add(1);
         }
@@ -413,7 +427,8 @@
     }
 }
 
-/// Returns how much this VM may send to each of the targets that stay, where all of them name a limit.
+/// Returns this VM's limits for the targets that are not leaving, or `None` unless all of them set
+/// a limit.
 fn limits_of(loads: &[&TargetLoad]) -> Option<Vec<TargetLimit>> {
     let staying = loads.iter().filter(|load| !load.entry().leaving);
     let named = |load: &&TargetLoad| Some(load.limit()).filter(|it| *it != TargetLimit::None);
@@ -421,21 +436,24 @@
     (!limits.is_empty()).then_some(limits)
 }
 
-/// Returns when a target wants work again; nothing for one that wants it now.
-fn held_until_of(now: Moment, load: &TargetLoad) -> Option<Moment> {
-    let wants_at = load.health().held_until().max(load.limit().wants_at(now));
-    Some(wants_at).filter(|at| *at > now)
+/// Returns when a target's back-off ends; `None` if it accepts requests now.
+fn back_off_end(now: Moment, load: &TargetLoad) -> Option<Moment> {
+    let until = load.health().held_until().max(load.limit().wants_at(now));
+    Some(until).filter(|at| *at > now)
 }
 
-/// Returns when the first of these targets wants work again; nothing where one that stays gets none for another reason.
-fn first_held_until(now: Moment, loads: &[&TargetLoad]) -> Option<Moment> {
+/// Returns when the first back-off among these targets ends; `None` if one that is not leaving is
+/// unusable for another reason.
+fn first_back_off_end(now: Moment, loads: &[&TargetLoad]) -> Option<Moment> {
     let staying = loads.iter().filter(|load| !load.entry().leaving);
-    let held = staying.map(|load| held_until_of(now, load));
-    held.collect::<Option<Vec<Moment>>>()?.into_iter().min()
+    let ends = staying.map(|load| back_off_end(now, load));
+    ends.collect::<Option<Vec<Moment>>>()?.into_iter().min()
 }
 
-/// How good a place is; the least is the best.
-fn place_order((load, it): &(&TargetLoad, PlacingForecast)) -> (bool, bool, Duration, TargetKey) {
+/// The order in which targets are preferred; the smallest key is the best.
+fn preference_order(
+    (load, it): &(&TargetLoad, PlacingForecast),
+) -> (bool, bool, Duration, TargetKey) {
     (!it.on_time, !it.keeps_pauses, it.cost, load.key())
 }
 
--- a/crates/ryetide-core/src/place_turn.rs
+++ b/crates/ryetide-core/src/place_turn.rs
@@ -1,17 +1,18 @@
-//! Whose turn it is to take a place that has come free at a target that several VMs share.
+//! Decides which VM may take a slot that has become free at a target that several VMs share.
 //!
-//! Answers a burst: every VM has a line, and all learn within milliseconds that a request has ended
-//! somewhere. If each took the place for its own line, the target would get several requests for one
-//! place, and all but the first would wait there for the length of a whole answer, late and in an order
-//! that knows no tiers. So the VMs that wait take turns, in an order that each works out for itself from
-//! the digests: the more urgent first, then the VM that gave the place back, which learns of it first
-//! and can use it at once, then by a hash that differs from target to target. The first may take all
-//! places of a target that is new, or back: all VMs learn of it at the same moment.
+//! In a burst, requests wait at every VM, and all VMs learn within milliseconds that a request has
+//! ended at some target. If each VM took the slot for its own queue, the target would get several
+//! requests for one slot, and all but the first would wait there for the duration of a whole
+//! answer, late and regardless of their tier.
 //!
-//! Played with eight VMs and three times the usual load, 0.098 of the placements found no slot without turns
-//! and 0.04 to 0.05 with them; at 70 VMs the worth of days with bursts rose by 0.01 to 0.05.
+//! So the VMs with waiting requests take turns, in an order that each computes by itself from the
+//! digests: first the VMs with more urgent requests, then the VM that freed the slot, which knows
+//! of it first and can use it at once, then by a hash that differs between targets. The first VM
+//! may take all slots of a target that is new or has recovered, since all VMs learn of it at the
+//! same moment.
 //!
-//! Two VMs whose digests differ for a moment may still take one place; that costs quality, never safety.
+//! Two VMs whose digests differ for a moment may still take the same slot; that delays a request,
+//! but breaks no guarantee.
 
 use std::time::Duration;
 
@@ -23,18 +24,20 @@
     units::{Moment, TierRank},
 };
 
-/// The most turns that the VMs of one class take. After them any of the class may take the place, and
-/// after one more those of the next class: the VMs before have no use for it, or are gone.
+/// The largest number of turns for the VMs of one class. After these turns any VM of the class may
+/// take the slot, and one turn later those of the next class: the VMs before them cannot use the
+/// slot, or are gone.
 const CLASS_TURNS: u32 = 3;
 
-/// How urgent the best of the requests is that wait for a service at one VM; the least goes first.
+/// The urgency of the most urgent request that waits for a service at one VM; the smallest class
+/// goes first.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct ClaimClass {
-    /// Whether it has missed its objective, or must miss it.
+    /// Whether the request has missed its objective, or cannot meet it any more.
     pub late: bool,
-    /// Its tier.
+    /// The request's tier.
     pub tier: TierRank,
-    /// The rank of its route.
+    /// The rank of the request's route.
     pub route_tier: TierRank,
 }
 
@@ -44,19 +47,19 @@
         Self { late: false, tier: TierRank(u8::MAX), route_tier: TierRank(u8::MAX) };
 }
 
-/// A VM that has requests waiting for a service.
+/// A VM with requests that wait for a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlaceClaimant<'a> {
     /// The VM.
     pub vm: &'a VmName,
-    /// The class of its best request.
+    /// The class of the VM's most urgent request.
     pub class: ClaimClass,
 }
 
-/// Who gave a place back.
+/// The VM that freed a slot.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub enum PlaceGiver {
-    /// Nobody: the target is new here.
+    /// None: the target is new to this VM.
     #[default]
     Nobody,
     /// This VM.
@@ -65,26 +68,26 @@
     Peer(VmName),
 }
 
-/// When a place last came free, and who gave it back.
+/// When a slot last became free, and which VM freed it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct FreedPlace {
-    /// When this VM learnt of it.
+    /// When this VM learned of it.
     pub at: Moment,
-    /// Who had held it.
+    /// The VM that had used it.
     pub by: PlaceGiver,
 }
 
-/// A place that has come free.
+/// A slot that has become free.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenPlace<'a> {
     /// The target.
     pub target: TargetKey,
-    /// When it was given back, and by whom.
+    /// When the slot was freed, and by which VM.
     pub freed: &'a FreedPlace,
 }
 
-/// Returns whether `own` may take one of the target's free places now. A VM whose turn has come is left `span` to
-/// take it: the time within which the others know that it has.
+/// Returns whether the VM `own` may take one of the target's free slots now. Each turn lasts
+/// `span`, the time within which the other VMs learn that the slot was taken.
 ///
 /// # Example
 ///
@@ -100,32 +103,32 @@
 /// let class = |tier| ClaimClass { late: false, tier: TierRank(tier), route_tier: TierRank(0) };
 /// let claim = |vm, tier| PlaceClaimant { vm, class: class(tier) };
 /// let freed = FreedPlace { at: Moment::from_millis(1_000), by: PlaceGiver::Own };
-/// let place = OpenPlace { target: TargetKey::of(&"t1".into()), freed: &freed };
+/// let slot = OpenPlace { target: TargetKey::of(&"t1".into()), freed: &freed };
 /// let (at, span) = (Moment::from_millis, Duration::from_millis(8));
-/// assert!(place_turn::is_turn(at(1_000), span, place, claim(&e1, 0), &[claim(&e2, 1)]));
-/// assert!(!place_turn::is_turn(at(1_005), span, place, claim(&e1, 1), &[claim(&e2, 0)]));
-/// assert!(place_turn::is_turn(at(1_016), span, place, claim(&e1, 1), &[claim(&e2, 0)]));
+/// assert!(place_turn::is_turn(at(1_000), span, slot, claim(&e1, 0), &[claim(&e2, 1)]));
+/// assert!(!place_turn::is_turn(at(1_005), span, slot, claim(&e1, 1), &[claim(&e2, 0)]));
+/// assert!(place_turn::is_turn(at(1_016), span, slot, claim(&e1, 1), &[claim(&e2, 0)]));
 /// ```
 pub fn is_turn(
     now: Moment,
     span: Duration,
-    place: OpenPlace<'_>,
+    slot: OpenPlace<'_>,
     own: PlaceClaimant<'_>,
     peers: &[PlaceClaimant<'_>],
 ) -> bool {
-    let passed = now.since(place.freed.at);
+    let passed = now.since(slot.freed.at);
     if passed >= span * (2 * CLASS_TURNS) {
         return true;
     }
-    let gave = |claimant: &PlaceClaimant<'_>| match &place.freed.by {
+    let freed_slot = |claimant: &PlaceClaimant<'_>| match &slot.freed.by {
         PlaceGiver::Nobody => false,
         PlaceGiver::Own => claimant.vm == own.vm,
         PlaceGiver::Peer(peer) => claimant.vm == peer,
     };
     let order = |claimant: &PlaceClaimant<'_>| {
-        let seed = u64::from(place.target.0);
-        let drawn = xxh3::xxh3_64_with_seed(claimant.vm.as_str().as_bytes(), seed);
-        (!gave(claimant), drawn)
+        let seed = u64::from(slot.target.0);
+        let hash = xxh3::xxh3_64_with_seed(claimant.vm.as_str().as_bytes(), seed);
+        (!freed_slot(claimant), hash)
     };
     let turns = |count: usize| u32::try_from(count).unwrap_or(u32::MAX).min(CLASS_TURNS);
     let better = peers.iter().filter(|peer| peer.class < own.class).count();
--- a/crates/ryetide-core/src/recent_arrivals.rs
+++ b/crates/ryetide-core/src/recent_arrivals.rs
@@ -1,19 +1,20 @@
-//! How much work of each urgency has come lately.
+//! Counts recent arrivals by urgency.
 //!
-//! Whoever waits is passed by more urgent requests that come later. In a burst that is most of the wait: a line looked
-//! short at the arrival, and three quarters of those that were refused learnt of it only when their objective was
-//! missed, 0.35 to 0.45 s later. What has come in the last seconds says how much will pass.
+//! More urgent requests that arrive later overtake a waiting request, which in a burst accounts for
+//! most of its wait. A queue that looked short on arrival then refuses most of these requests only
+//! when their objective is missed. The recent arrival rate allows an earlier estimate of how many
+//! requests will overtake.
 
 use std::{collections::VecDeque, time::Duration};
 
 use crate::{place_turn::ClaimClass, units::Moment};
 
-/// How far back arrivals count: long enough for some ten at a VM with five requests a second, short enough that the
-/// beginning of a burst of three seconds shows.
+/// The span over which arrivals count: long enough for some ten arrivals at a VM with five requests
+/// per second, and short enough to show the start of a burst of three seconds.
 const SPAN: Duration = Duration::from_secs(2);
-/// The part of all places that more urgent requests are believed to take at the most. Nearer to one the expected wait
-/// grows without bound, on the word of a few arrivals.
-const GREATEST_PART: f64 = 0.8;
+/// The largest share of all slots that more urgent requests are assumed to take. Near one, a few
+/// arrivals would make the expected wait grow without bound.
+const MAX_SHARE: f64 = 0.8;
 
 /// The arrivals of one service at one VM.
 ///
@@ -35,7 +36,7 @@
 pub struct RecentArrivals(VecDeque<(Moment, ClaimClass)>);
 
 impl RecentArrivals {
-    /// Notes an arrival.
+    /// Records an arrival.
     pub fn note(&mut self, now: Moment, class: ClaimClass) {
         self.0.push_back((now, class));
         while self.0.front().is_some_and(|(at, _)| now.since(*at) >= SPAN) {
@@ -43,14 +44,15 @@
         }
     }
 
-    /// Returns how many requests a second have come that are more urgent than `class`.
+    /// Returns the recent rate of requests more urgent than `class`, per second.
     pub fn more_urgent_rate(&self, now: Moment, class: ClaimClass) -> f64 {
-        let lately = self.0.iter().filter(|(at, _)| now.since(*at) < SPAN);
-        lately.filter(|(_, other)| *other < class).count() as f64 / SPAN.as_secs_f64()
+        let recent = self.0.iter().filter(|(at, _)| now.since(*at) < SPAN);
+        recent.filter(|(_, other)| *other < class).count() as f64 / SPAN.as_secs_f64()
     }
 }
 
-/// Returns how many times longer a wait takes when requests that come meanwhile take this part of all places first.
-pub fn stretch(part: f64) -> f64 {
-    1.0 / (1.0 - part.clamp(0.0, GREATEST_PART))
+/// Returns the factor by which a wait grows when requests that arrive meanwhile take this share of
+/// all slots first.
+pub fn stretch(share: f64) -> f64 {
+    1.0 / (1.0 - share.clamp(0.0, MAX_SHARE))
 }
--- a/crates/ryetide-core/src/scheduler.rs
+++ b/crates/ryetide-core/src/scheduler.rs
@@ -1,12 +1,13 @@
-//! Which waiting request goes to which target, and which is told to come back.
+//! Assigns waiting requests to targets, or refuses them with a retry delay.
 //!
-//! Every entry VM runs one [`Scheduler`] over all targets. It counts what it has sent itself, adds
-//! what its peers say in their digests, and decides alone: no request waits for another VM's word,
-//! and none is lost when a VM dies. What two VMs decide at the same moment may take one place twice;
-//! the second then waits a few milliseconds at the engine.
+//! Every entry VM runs one [`Scheduler`] over all targets. A scheduler counts the requests that its
+//! own VM has sent, adds the counts that peers report in their digests, and decides alone: no
+//! request waits for an answer from another VM, and none is lost when a VM fails. Two VMs that
+//! decide at the same moment may assign the same slot twice; the second request then waits a few
+//! milliseconds at the engine.
 //!
-//! Like the rest of this crate it opens no socket and reads no clock: the driver tells it what
-//! happened, and takes its [`Decision`]s.
+//! Like the rest of this crate, the scheduler opens no socket and reads no clock: the driver
+//! reports events to it and takes its [`Decision`]s.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -38,31 +39,31 @@
     watch_duty::WatchOrder,
 };
 
-/// How often the line is looked at while somebody waits: well under the shortest objective, and under
-/// the turn that a VM has at a place which has come free.
-const LINE_INTERVAL: Duration = Duration::from_millis(5);
-/// How fast the mean time in a place follows new ones.
-const HOLD_WEIGHT: f64 = 0.05;
+/// How often the queues are examined while requests wait. The interval is well below the shortest
+/// objective, and below the turn that a VM has at a slot that has become free.
+const QUEUE_INTERVAL: Duration = Duration::from_millis(5);
+/// Weight of a new observation in the mean time that requests occupy a slot.
+const SLOT_TIME_WEIGHT: f64 = 0.05;
 
-/// Schedules the requests of one entry VM onto the targets that all share.
+/// Schedules the requests of one entry VM onto targets that all entry VMs share.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) options: SchedulerOptions,
-    comeback: ComebackTime,
+    retry_delay: ComebackTime,
     pub(crate) services: BTreeMap<ServiceName, ServiceLine>,
     pub(crate) targets: BTreeMap<TargetKey, TargetLoad>,
     pub(crate) runs: HashMap<RequestSequence, PlacedRun>,
     pub(crate) peers: PeerBoard,
-    /// The targets of which each peer's last digest told.
+    /// The targets that each peer's last digest listed.
     pub(crate) marked: HashMap<VmName, BTreeSet<TargetKey>>,
     pub(crate) quotas: QuotaDesk,
-    verdicts: Vec<QuotaVerdict>,
-    retries: RetryBudget,
+    quota_results: Vec<QuotaVerdict>,
+    retry_budget: RetryBudget,
     pub(crate) crashes: CrashLedger,
     pub(crate) limits: LimitBook,
-    /// When the parts of limits were dealt last; nothing when they must be dealt anew.
+    /// When the shares of target limits were last computed; `None` when they must be recomputed.
     pub(crate) limits_dealt: Option<Moment>,
-    /// Until when a new limit must be told soon.
+    /// Until when a changed limit must reach peers soon.
     pub(crate) limits_fresh_until: Moment,
     /// Whether this VM is shutting down.
     pub(crate) leaving: bool,
@@ -74,7 +75,7 @@
     pub(crate) changed: bool,
     pub(crate) plan: CellPlan,
     watch_order: WatchOrder,
-    /// VMs that use the same targets, this one included.
+    /// Number of VMs that use the same targets, including this one.
     cell_size: u32,
 }
 
@@ -91,9 +92,9 @@
     pub fn new(options: SchedulerOptions) -> Self {
         let plan = CellPlan::new(&options.member(), &[], &[]);
         Self {
-            comeback: ComebackTime::new(options.seed),
+            retry_delay: ComebackTime::new(options.seed),
             route: DigestRoute::new(options.seed),
-            retries: RetryBudget::new(options.retry),
+            retry_budget: RetryBudget::new(options.retry),
             rollouts: RolloutDesk::new(options.name.clone(), options.rollout),
             options,
             plan,
@@ -103,7 +104,7 @@
             peers: PeerBoard::default(),
             marked: HashMap::new(),
             quotas: QuotaDesk::default(),
-            verdicts: Vec::new(),
+            quota_results: Vec::new(),
             crashes: CrashLedger::default(),
             limits: LimitBook::default(),
             limits_dealt: None,
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Replaces the targets. What is known of those that stay is kept; what runs at those that are
-    /// gone runs on.
+    /// Replaces the list of targets. State of targets that stay is kept; requests that run at
+    /// removed targets continue.
     pub fn set_targets(&mut self, now: Moment, entries: Vec<TargetEntry>) {
         self.rollouts.take_targets(now, &entries);
         let mut known = std::mem::take(&mut self.targets);
@@ -140,7 +141,7 @@
         self.advance(now);
     }
 
-    /// Finds the targets that this VM's cell uses, those of a version on trial apart.
+    /// Determines the targets that this VM's cell uses, separately for versions on trial.
     pub(crate) fn deal_targets(&mut self) {
         let mut by_use: BTreeMap<(ServiceName, bool), Vec<&TargetEntry>> = BTreeMap::new();
         for load in self.targets.values() {
@@ -154,7 +155,7 @@
         }
         let deal = |entries: &[&TargetEntry]| {
             let keys = self.plan.targets(entries);
-            // A cell that has none of its own uses all.
+            // A cell without targets of its own uses all of them.
             let is_dealt = self.plan.deals(entries) && keys.len() < entries.len();
             UsedTargets { keys, is_dealt }
         };
@@ -171,7 +172,7 @@
         self.limits_dealt = None;
     }
 
-    /// Works the cells out anew from the VMs that are heard and the targets that are known.
+    /// Recomputes the cells from the reachable VMs and the known targets.
     pub fn plan_cells(&mut self, now: Moment) {
         let entries = self.targets.values().map(TargetLoad::entry);
         let serving = |entry: &&TargetEntry| self.rollouts.target_use(entry) == TargetUse::Serving;
@@ -182,97 +183,100 @@
             self.plan = plan;
             self.deal_targets();
         }
-        let mates = members.iter().filter(|member| self.plan.is_mate(&member.name)).count();
-        self.cell_size = u32::try_from(mates).unwrap_or(u32::MAX).saturating_add(1);
+        let peers = members.iter().filter(|member| self.plan.is_mate(&member.name)).count();
+        self.cell_size = u32::try_from(peers).unwrap_or(u32::MAX).saturating_add(1);
     }
 
-    /// Returns the shortest time between two digests of this VM.
+    /// Returns the minimum time between two digests of this VM.
     pub fn digest_interval(&self) -> Duration {
         self.pace.interval()
     }
 
-    /// Returns whether a peer is told everything.
+    /// Whether a peer receives this VM's full digests, being in the same cell.
     pub fn is_mate(&self, peer: &VmName) -> bool {
         self.plan.is_mate(peer)
     }
 
-    /// Returns whether an organisation is near the end of its quota, so that peers should be told
-    /// soon what it uses here.
+    /// Whether an organisation has little of its quota left, so that peers should soon receive what
+    /// it has used here.
     pub fn is_quota_short(&self) -> bool {
         self.quotas.ledger().is_short()
     }
 
-    /// Replaces what may be repeated.
+    /// Replaces the limits on retries.
     pub fn set_retry_rule(&mut self, rule: RetryRule) {
-        self.retries.set_rule(rule);
+        self.retry_budget.set_rule(rule);
     }
 
-    /// Takes the list of the other entry VMs.
+    /// Replaces the list of the other entry VMs.
     pub fn list_peers(&mut self, now: Moment, listed: &[CellMember]) {
         self.peers.list(now, listed);
         self.note_peers(now);
         self.plan_cells(now);
     }
 
-    /// Replaces the order in which the VMs watch the source of routes and targets.
+    /// Replaces the order in which VMs take over watching the source of routes and targets.
     pub fn set_watch_order(&mut self, order: WatchOrder) {
         self.watch_order = order;
     }
 
-    /// Takes what a request costs from its organisation's quota, lets it wait for that, or says when to come
-    /// back.
+    /// Charges a request to its organisation's quota, queues it until units are available, or
+    /// returns the delay after which its caller should retry.
     pub fn ask_quota(&mut self, now: Moment, ask: QuotaAsk) -> QuotaAnswer {
         match self.quotas.ask(now, ask) {
-            QuotaAnswer::Over(wait) => QuotaAnswer::Over(self.comeback.after_quota(wait)),
+            QuotaAnswer::Over(wait) => QuotaAnswer::Over(self.retry_delay.after_quota(wait)),
             answer => answer,
         }
     }
 
-    /// Returns what became of those who waited for a quota since the last call.
+    /// Returns the results of quota waits that ended since the last call.
     pub fn take_verdicts(&mut self) -> Vec<QuotaVerdict> {
-        std::mem::take(&mut self.verdicts)
+        std::mem::take(&mut self.quota_results)
     }
 
     fn advance_quotas(&mut self, now: Moment) {
         for mut verdict in self.quotas.advance(now) {
-            verdict.outcome = verdict.outcome.map_err(|wait| self.comeback.after_quota(wait));
-            self.verdicts.push(verdict);
+            verdict.outcome = verdict.outcome.map_err(|wait| self.retry_delay.after_quota(wait));
+            self.quota_results.push(verdict);
         }
     }
 
-    /// Puts back what a request took from a quota that did not run after all.
+    /// Refunds the quota units of a request that did not run.
     pub fn give_back(&mut self, charge: QuotaCharge) {
         self.quotas.give_back(charge);
     }
 
-    /// Takes a request in: it is placed at once, waits, or is refused.
+    /// Accepts a new request: it is assigned to a target at once, queued, or refused.
     pub fn enter(&mut self, now: Moment, work: WaitingWork) {
         let (service, ticket) = (work.service.clone(), work.ticket);
-        self.retries.note_request(now, &service);
+        self.retry_budget.note_request(now, &service);
         let class = work.rank(now, Duration::ZERO).class();
         self.service_state(&service).arrivals.note(now, class);
-        self.join_line(now, work);
-        self.refuse_hopeless(now, &service, ticket);
+        self.enqueue(now, work);
+        self.refuse_if_hopeless(now, &service, ticket);
     }
 
-    /// Takes back a request that was placed and has not run, to be placed elsewhere. Returns whether
-    /// the budget of repeats permits it.
+    /// Queues a request again that was assigned to a target and did not run there. Returns `false`
+    /// if the retry budget does not permit this.
+    ///
+    /// A request that did not arrive at its target (`arrived_there` is `false`) is not charged to
+    /// the budget.
     pub fn enter_again(&mut self, now: Moment, work: WaitingWork, arrived_there: bool) -> bool {
-        if arrived_there && !self.retries.take(now, &work.service) {
+        if arrived_there && !self.retry_budget.take(now, &work.service) {
             return false;
         }
-        self.join_line(now, work);
+        self.enqueue(now, work);
         true
     }
 
-    fn join_line(&mut self, now: Moment, work: WaitingWork) {
+    fn enqueue(&mut self, now: Moment, work: WaitingWork) {
         let service = work.service.clone();
         self.service_state(&service).line.push(work);
         self.changed = true;
-        self.pump(now, &service);
+        self.process_queue(now, &service);
     }
 
-    /// Removes a request that waits; returns whether it did.
+    /// Removes a waiting request; returns whether it was waiting.
     pub fn leave(&mut self, ticket: RequestSequence) -> bool {
         self.quotas.leave(ticket);
         let lines = self.services.values_mut();
@@ -281,7 +285,7 @@
         left
     }
 
-    /// Notes an event of a stream.
+    /// Records an event of a response stream.
     pub fn note_event(&mut self, now: Moment, ticket: RequestSequence) {
         let Some(run) = self.runs.get_mut(&ticket) else { return };
         let last = run.last_event.replace(now);
@@ -295,7 +299,7 @@
         }
     }
 
-    /// Notes that a placed request is not under way any more.
+    /// Records that an assigned request has ended.
     pub fn end(&mut self, now: Moment, ticket: RequestSequence, end: RunEnd) {
         let Some(run) = self.runs.remove(&ticket) else { return };
         self.teller.note_touched(now, run.target);
@@ -313,25 +317,25 @@
             let state = self.service_state(&run.service);
             let taken = now.since(run.since);
             let mean = state.hold.unwrap_or(taken).as_secs_f64();
-            let moved = mean + (taken.as_secs_f64() - mean) * HOLD_WEIGHT;
+            let moved = mean + (taken.as_secs_f64() - mean) * SLOT_TIME_WEIGHT;
             state.hold = Some(Duration::from_secs_f64(moved));
         }
         self.changed = true;
-        self.pump(now, &run.service);
+        self.process_queue(now, &run.service);
     }
 
-    /// Does what has fallen due.
+    /// Processes everything that is due at `now`.
     pub fn advance(&mut self, now: Moment) {
         self.note_peers(now);
         self.advance_quotas(now);
         self.pump_all(now);
     }
 
-    /// Returns when [`Scheduler::advance`] must be called next, or nothing while nobody waits.
+    /// Returns when [`Scheduler::advance`] must be called next, or `None` while no request waits.
     pub fn next_wake(&self, now: Moment) -> Option<Moment> {
         let waits = self.services.values().any(|state| !state.line.is_empty());
         let waits = waits || self.quotas.is_waited_at();
-        waits.then(|| now + LINE_INTERVAL)
+        waits.then(|| now + QUEUE_INTERVAL)
     }
 
     /// Returns the decisions made since the last call.
@@ -339,59 +343,60 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Returns whether there is something new to tell the peers, and resets it.
+    /// Returns whether there is anything new to send to peers, and resets the flag.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Returns in what peers have news that this VM has not.
+    /// Returns which kinds of data are newer at peers than at this VM.
     pub fn feed_lag(&self, now: Moment, news: FleetNews) -> FeedLag {
         self.peers.feed_lag(now, news)
     }
 
-    /// Returns whether this VM must watch the source of routes and targets itself. In a small deployment
-    /// all do.
+    /// Whether this VM must itself watch the source of routes and targets. In a small deployment,
+    /// every VM does.
     pub fn must_watch(&self, now: Moment) -> bool {
-        let mates = self.peers.watching(now).filter(|peer| self.is_mate(peer));
-        !self.plan.is_dealt() || self.watch_order.is_first(&self.options.name, mates)
+        let peers = self.peers.watching(now).filter(|peer| self.is_mate(peer));
+        !self.plan.is_dealt() || self.watch_order.is_first(&self.options.name, peers)
     }
 
-    /// Returns whether this VM tells others the changes it hears of from the source: it is among the first
-    /// of those that watch.
+    /// Whether this VM forwards changes from the source to others, being among the first of the
+    /// watching VMs.
     pub fn is_relay(&self, now: Moment) -> bool {
-        let mates = self.peers.watching(now).filter(|peer| self.is_mate(peer));
-        self.watch_order.is_first(&self.options.name, mates)
+        let peers = self.peers.watching(now).filter(|peer| self.is_mate(peer));
+        self.watch_order.is_first(&self.options.name, peers)
     }
 
-    /// Returns whether a peer relies on what others tell it of routes and targets.
+    /// Whether a peer receives routes and targets from other VMs only.
     pub fn relies_on_relays(&self, now: Moment, peer: &VmName) -> bool {
         self.is_mate(peer) && !self.peers.watching(now).any(|vm| vm == peer)
     }
 
-    /// Returns which requests ended in crashes of targets.
+    /// Returns the ledger of requests that were running when targets crashed.
     pub fn crashes(&self) -> &CrashLedger {
         &self.crashes
     }
 
-    /// Returns the same, to take what has happened.
+    /// Returns the crash ledger for updates.
     pub fn crashes_mut(&mut self) -> &mut CrashLedger {
         &mut self.crashes
     }
 
-    /// Notes that a target wants nothing from this VM for `span`.
+    /// Records that a target asked this VM to send it no requests for `span`.
     pub fn hold_off(&mut self, now: Moment, target: TargetKey, span: Duration) {
         if let Some(load) = self.targets.get_mut(&target) {
             load.health_mut().hold_off(now, span);
         }
     }
 
-    /// Notes the runs of this VM that ended when a target crashed.
+    /// Records the requests of this VM that were running when a target crashed.
     pub fn note_crash(&mut self, now: Moment, target: TargetKey, runs: &[CrashedRun]) {
         self.crashes.note_crash(now, target, runs);
         self.changed = true;
     }
 
-    /// Returns whether a request may be sent to the targets of `service`.
+    /// Returns whether a request may be sent to the targets of `service`, given the crashes
+    /// attributed to it.
     pub fn standing(
         &mut self,
         now: Moment,
@@ -410,17 +415,17 @@
         self.targets.values()
     }
 
-    /// Returns how many requests wait here.
+    /// Returns the number of requests that wait at this VM.
     pub fn waiting(&self) -> usize {
         self.services.values().map(|state| state.line.len()).sum()
     }
 
-    /// Returns how many requests this VM has at targets.
+    /// Returns the number of requests that this VM has running at targets.
     pub fn running(&self) -> usize {
         self.runs.len()
     }
 
-    /// Returns the part of the entry VMs that this one hears.
+    /// Returns the share of the entry VMs that this VM can reach.
     pub fn heard_part(&self, now: Moment) -> f64 {
         self.peers.heard_part(now)
     }
@@ -431,19 +436,19 @@
 
     pub(crate) fn note_peers(&mut self, now: Moment) {
         self.quotas.ledger_mut().set_heard_part(self.peers.heard_part(now));
-        self.retries.set_vm_count(self.peers.known_count(now));
+        self.retry_budget.set_vm_count(self.peers.known_count(now));
     }
 
     pub(crate) fn pump_all(&mut self, now: Moment) {
         let waits = self.services.iter().filter(|(_, state)| !state.line.is_empty());
         let names: Vec<ServiceName> = waits.map(|(name, _)| name.clone()).collect();
         for name in names {
-            self.pump(now, &name);
+            self.process_queue(now, &name);
         }
     }
 
-    /// Places and refuses what can be decided now.
-    fn pump(&mut self, now: Moment, service: &ServiceName) {
+    /// Makes all decisions about a service's queue that are possible now.
+    fn process_queue(&mut self, now: Moment, service: &ServiceName) {
         self.deal_limits(now);
         while let Some(choice) = self.view(now, service).and_then(|view| view.next_choice()) {
             match choice {
@@ -494,23 +499,23 @@
         let held = held_until.map_or(Duration::ZERO, |until| until.since(now));
         self.service_state(service).line.remove(ticket);
         let retry_after = match reason {
-            RefusalReason::NoTarget => self.comeback.without_target(),
-            RefusalReason::HeldOff => self.comeback.after_hold_off(held),
-            RefusalReason::Overload | RefusalReason::OutOfTime => self.comeback.after_line(wait),
+            RefusalReason::NoTarget => self.retry_delay.without_target(),
+            RefusalReason::HeldOff => self.retry_delay.after_hold_off(held),
+            RefusalReason::Overload | RefusalReason::OutOfTime => self.retry_delay.after_line(wait),
         };
         self.decisions.push(Decision::Refuse { ticket, reason, retry_after, line });
         self.changed = true;
     }
 
-    /// Refuses a request that has just joined a line behind which it has no hope.
-    fn refuse_hopeless(&mut self, now: Moment, service: &ServiceName, ticket: RequestSequence) {
-        let hopeless = self.view(now, service).is_some_and(|view| view.is_hopeless(ticket));
-        if hopeless {
+    /// Refuses a request that has just joined a queue in which it cannot be served in time.
+    fn refuse_if_hopeless(&mut self, now: Moment, service: &ServiceName, ticket: RequestSequence) {
+        let is_hopeless = self.view(now, service).is_some_and(|view| view.is_hopeless(ticket));
+        if is_hopeless {
             self.refuse(now, service, ticket, RefusalReason::Overload);
         }
     }
 
-    /// Returns what can be seen of a service's line and targets.
+    /// Returns the current view of a service's queue and targets.
     pub(crate) fn view(&self, now: Moment, service: &ServiceName) -> Option<LineView<'_>> {
         let state = self.services.get(service)?;
         let sharing = PlaceSharing { vms: self.cell_size, turn_span: self.pace.news_span() };
--- a/crates/ryetide-core/src/scheduler_options.rs
+++ b/crates/ryetide-core/src/scheduler_options.rs
@@ -1,4 +1,4 @@
-//! What a scheduler is told when it starts.
+//! The options that a scheduler is created with.
 
 use crate::{
     cell_plan::CellMember,
@@ -8,27 +8,27 @@
     rollout_order::RolloutRule,
 };
 
-/// What a scheduler is told when it starts.
+/// The options that a scheduler is created with.
 #[derive(Clone, Debug)]
 pub struct SchedulerOptions {
-    /// This VM.
+    /// The name of this VM.
     pub name: VmName,
-    /// Its data centre.
+    /// The data centre of this VM.
     pub data_centre: DataCentreName,
-    /// This life of its process.
+    /// The current incarnation of this VM's process.
     pub incarnation: Incarnation,
-    /// The seed of its randomness.
+    /// The seed of the scheduler's random numbers.
     pub seed: u64,
-    /// How much may be repeated.
+    /// Limits on retries.
     pub retry: RetryRule,
-    /// How much a version may get that may prove bad.
+    /// Limits on what a version on trial may receive.
     pub rollout: RolloutRule,
-    /// What is assumed of targets before anything was observed.
+    /// The speed assumed of targets before anything was observed.
     pub assumed: AssumedPace,
 }
 
 impl SchedulerOptions {
-    /// Returns the VM, as far as cells go.
+    /// Returns this VM as a member of a cell.
     pub fn member(&self) -> CellMember {
         CellMember { name: self.name.clone(), data_centre: self.data_centre.clone() }
     }
--- a/crates/ryetide-core/src/wait_line.rs
+++ b/crates/ryetide-core/src/wait_line.rs
@@ -1,10 +1,10 @@
-//! The requests of one service that wait at this VM for a place.
+//! The requests of one service that wait at this VM for a free slot.
 //!
-//! Answers a burst: more comes for some seconds than the targets can begin in time. First those that
-//! can still meet their objective, the most urgent tier first and the nearest objective within it;
-//! behind them those that have missed it, in the same order. Served in order of arrival, a line
-//! longer than the objective makes everybody late; served this way, as many as there are places for
-//! are on time, and the rest is served when the burst is over.
+//! The order is made for bursts, in which more requests arrive for some seconds than the targets
+//! can start in time. Requests that can still meet their objective come first, by tier and then by
+//! the nearest objective; those that have missed it follow in the same order. In order of arrival,
+//! a queue longer than the objective would make every request late; in this order, as many are on
+//! time as there are slots for, and the rest are served after the burst.
 
 use std::time::Duration;
 
@@ -14,67 +14,69 @@
     units::{Moment, TierRank, Tokens},
 };
 
-/// A request that waits for a place.
+/// A request that waits for a slot.
 #[derive(Clone, Debug)]
 pub struct WaitingWork {
     /// The request.
     pub ticket: RequestSequence,
     /// The service whose targets may serve it.
     pub service: ServiceName,
-    /// Its tier.
+    /// The request's tier.
     pub tier: TierRank,
-    /// The rank of its route, which orders those of one tier.
+    /// The rank of the request's route, which orders requests of the same tier.
     pub route_tier: TierRank,
-    /// Whether it is a stream of a model engine.
+    /// Whether the answer is a stream from a model engine.
     pub engine: bool,
-    /// Its prompt.
+    /// The length of the prompt.
     pub prompt: Tokens,
-    /// The hash of its prompt's last part.
+    /// The hash of the last section of the prompt.
     pub part: Option<u32>,
-    /// Events that its answer is expected to have.
+    /// The expected number of events in the answer.
     pub events: u32,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Moment,
-    /// Whether its caller was told to come back before, and has.
+    /// Whether this is a caller's retry after a refusal.
     pub came_back: bool,
-    /// When its first event, or its answer, stops being on time, counted from when its caller asked first.
+    /// The latest time at which the first event, or the whole answer, is on time, counted from the
+    /// caller's first attempt.
     pub objective_at: Moment,
-    /// When its caller stops waiting, or its time is over.
+    /// When the caller stops waiting, or the request's deadline passes.
     pub leave_at: Moment,
     /// The longest pause between events that is on time.
     pub pause: Option<Duration>,
-    /// Whether its caller has had a part of the answer already. It is then never refused for a line:
-    /// its caller would get a torn answer instead of one that goes on.
+    /// Whether the caller has already received a part of the answer. Such a request is never
+    /// refused because of the queue, since its caller would get a truncated answer instead of a
+    /// continued one.
     pub begun: bool,
-    /// Targets that it must not be sent to again.
+    /// Targets that the request must not be sent to again.
     pub excluded: Vec<TargetKey>,
 }
 
-/// Where a request stands in line; the least goes first.
+/// A request's position in the queue; the smallest rank goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct LineRank {
-    /// Whether it has missed its objective, or must miss it.
+    /// Whether the request has missed its objective, or cannot meet it any more.
     pub late: bool,
-    /// Its tier.
+    /// The request's tier.
     pub tier: TierRank,
-    /// The rank of its route.
+    /// The rank of the request's route.
     pub route_tier: TierRank,
-    /// When it stops being on time.
+    /// The latest time at which the request is on time.
     pub objective_at: Moment,
-    /// The request; breaks ties in order of arrival.
+    /// The request, as a tie-breaker in order of arrival.
     pub ticket: RequestSequence,
 }
 
 impl LineRank {
-    /// Returns how urgent the request is against those that wait at other VMs.
+    /// Returns the urgency of the request in comparison with those that wait at other VMs.
     pub fn class(&self) -> ClaimClass {
         ClaimClass { late: self.late, tier: self.tier, route_tier: self.route_tier }
     }
 }
 
 impl WaitingWork {
-    /// Returns where the request stands at `now`, when its first event comes `best` after a
-    /// dispatch at the earliest.
+    /// Returns the rank of the request at `now`, if its first event comes no sooner than `best`
+    /// after a dispatch.
     pub fn rank(&self, now: Moment, best: Duration) -> LineRank {
         LineRank {
             late: now + best > self.objective_at,
@@ -86,7 +88,7 @@
     }
 }
 
-/// The line of one service.
+/// The queue of one service.
 #[derive(Debug, Default)]
 pub struct WaitLine {
     waiting: Vec<WaitingWork>,
@@ -104,8 +106,8 @@
         Some(self.waiting.swap_remove(index))
     }
 
-    /// Returns the requests with their ranks, first in line first. `best` gives the time from a
-    /// dispatch to the first event at the earliest.
+    /// Returns the requests with their ranks in queue order. `best` returns the shortest time from
+    /// a dispatch to the first event.
     pub fn ordered(
         &self,
         now: Moment,
@@ -117,17 +119,17 @@
         ordered
     }
 
-    /// Returns the requests in no order.
+    /// Returns the requests in unspecified order.
     pub fn iter(&self) -> impl Iterator<Item = &WaitingWork> {
         self.waiting.iter()
     }
 
-    /// Returns how many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
