--- a/crates/ryetide-core/src/comeback_time.rs
+++ b/crates/ryetide-core/src/comeback_time.rs
@@ -1,21 +1,22 @@
-//! When refused callers are told to come back.
+//! Retry delays for refused callers.
 //!
-//! Answers the burst after a burst: callers who are refused in the same second and told the same time come back
-//! together, and fill the line that had just emptied.
+//! Delays are randomised: callers that are refused in the same second with the same delay would all
+//! retry together, and fill the queue that has just emptied.
 
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// The shortest and the longest time after which refused callers are told to come back.
-const LEAST: Duration = Duration::from_millis(300);
-const GREATEST: Duration = Duration::from_secs(10);
-/// How far promises are spread, as a part: callers refused together must not come back together.
+/// The shortest and the longest delay for callers refused because of a queue.
+const MIN_DELAY: Duration = Duration::from_millis(300);
+const MAX_DELAY: Duration = Duration::from_secs(10);
+/// The range of the random increase, as a share of the delay, so that callers refused together do
+/// not retry together.
 const SPREAD: f64 = 0.5;
-/// When to come back to a service none of whose targets is known.
-const NO_TARGET: Duration = Duration::from_secs(1);
+/// The delay for callers of a service without any known target.
+const NO_TARGET_DELAY: Duration = Duration::from_secs(1);
 
-/// Draws the times that refused callers are told.
+/// Draws randomised retry delays.
 ///
 /// # Example
 ///
@@ -23,9 +24,9 @@
 /// use std::time::Duration;
 /// use ryetide_core::comeback_time::ComebackTime;
 ///
-/// let mut time = ComebackTime::new(1);
-/// let told = time.after_line(Duration::from_secs(2));
-/// assert!(told >= Duration::from_secs(2) && told < Duration::from_secs(3));
+/// let mut delay = ComebackTime::new(1);
+/// let retry_after = delay.after_line(Duration::from_secs(2));
+/// assert!(retry_after >= Duration::from_secs(2) && retry_after < Duration::from_secs(3));
 /// ```
 #[derive(Debug)]
 pub struct ComebackTime {
@@ -33,32 +34,33 @@
 }
 
 impl ComebackTime {
-    /// Creates a source of times; the same seed gives the same ones.
+    /// Creates a source of delays; the same seed gives the same delays.
     pub fn new(seed: u64) -> Self {
         Self { rng: SmallRng::seed_from_u64(seed) }
     }
 
-    /// Returns the time for a caller behind a line of this length.
+    /// Returns the delay for a caller refused because of a queue with this expected wait.
     pub fn after_line(&mut self, wait: Duration) -> Duration {
-        self.spread(wait.clamp(LEAST, GREATEST))
+        self.randomise(wait.clamp(MIN_DELAY, MAX_DELAY))
     }
 
-    /// Returns the time for a caller whose organisation has its units back after `wait`.
+    /// Returns the delay for a caller whose organisation has enough quota units after `wait`.
     pub fn after_quota(&mut self, wait: Duration) -> Duration {
-        self.spread(wait.max(LEAST))
+        self.randomise(wait.max(MIN_DELAY))
     }
 
-    /// Returns the time for a caller of a service whose targets want nothing for `wait`.
+    /// Returns the delay for a caller of a service whose targets have requested back-off for
+    /// `wait`.
     pub fn after_hold_off(&mut self, wait: Duration) -> Duration {
-        self.spread(wait.max(LEAST))
+        self.randomise(wait.max(MIN_DELAY))
     }
 
-    /// Returns the time for a caller of a service that has no target.
+    /// Returns the delay for a caller of a service that has no target.
     pub fn without_target(&mut self) -> Duration {
-        self.spread(NO_TARGET)
+        self.randomise(NO_TARGET_DELAY)
     }
 
-    fn spread(&mut self, wait: Duration) -> Duration {
+    fn randomise(&mut self, wait: Duration) -> Duration {
         wait.mul_f64(1.0 + self.rng.random_range(0.0..SPREAD))
     }
 }
--- a/crates/ryetide-core/src/deadline_habit.rs
+++ b/crates/ryetide-core/src/deadline_habit.rs
@@ -1,29 +1,28 @@
-//! For how long a caller has waited already, told from the time that it says it has left.
+//! Estimates how long a caller has already waited from the remaining time that it states.
 //!
-//! A caller that was told to come back asks again as a new request, and its objective still counts from when
-//! it asked first. What it says of its deadline shows it: callers of a route mostly begin with the same time, and
-//! one that comes back has less left. Taken for new ones, those that came back had half of the places in the
-//! worst seconds of a burst, all late, while as many that could still have been on time were sent away. Known for
-//! what they are, the worth of days with bursts rose by 0.015 at 8 and 9 VMs, from 0.548.
+//! A caller that was refused retries as a new request, while its objective still counts from its
+//! first attempt. The callers of a route mostly start with the same remaining time, and one that
+//! retries has less left. Without this estimate, retries that are late already would take slots
+//! from requests that could still be on time.
 //!
-//! Nothing is concluded on a route whose callers begin with many different times. A time that many begin with
-//! is never taken for what is left of a longer one.
+//! No estimate is made for a route whose callers start with many different times. A time that many
+//! callers state is never taken for the rest of a longer one.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Times told before anything is concluded.
-const LEAST_TOLD: u32 = 8;
-/// Times told that are remembered: beyond them old ones count half.
-const MOST_TOLD: u32 = 256;
-/// The part of the callers that must tell the same time for it to be one that callers begin with. Those that
-/// come back have all kinds of times left, to the millisecond.
-const HABIT_PART: f64 = 0.05;
-/// Callers that must have told the same time, of however few.
-const HABIT_LEAST: f64 = 3.0;
-/// One that tells so little less may have been held up on its way.
-const LEAST_WAITED: Duration = Duration::from_millis(20);
+/// The number of stated times before any estimate is made.
+const MIN_OBSERVATIONS: u32 = 8;
+/// The number of remembered times; beyond it, older ones count half.
+const MAX_OBSERVATIONS: u32 = 256;
+/// The share of the callers that must state the same time for it to count as a starting time.
+/// Callers that retry have many different times left, to the millisecond.
+const MIN_START_SHARE: f64 = 0.05;
+/// The least number of callers that must state the same time.
+const MIN_START_COUNT: f64 = 3.0;
+/// A smaller difference may be a delay on the way of a first attempt.
+const MIN_WAITED: Duration = Duration::from_millis(20);
 
-/// The times that the callers of one route told to have left.
+/// The remaining times that the callers of one route have stated.
 ///
 /// # Example
 ///
@@ -32,41 +31,41 @@
 ///
 /// use ryetide_core::deadline_habit::DeadlineHabit;
 ///
-/// let mut habit = DeadlineHabit::default();
+/// let mut tracker = DeadlineHabit::default();
 /// for _ in 0..30 {
-///     assert_eq!(habit.waited(Duration::from_secs(10)), Duration::ZERO);
+///     assert_eq!(tracker.waited(Duration::from_secs(10)), Duration::ZERO);
 /// }
-/// assert_eq!(habit.waited(Duration::from_millis(9_300)), Duration::from_millis(700));
+/// assert_eq!(tracker.waited(Duration::from_millis(9_300)), Duration::from_millis(700));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct DeadlineHabit {
-    /// How often each time was told, in milliseconds.
-    told: BTreeMap<u64, u32>,
+    /// How often each time was stated, in milliseconds.
+    counts: BTreeMap<u64, u32>,
     total: u32,
 }
 
 impl DeadlineHabit {
-    /// Takes the time that a caller says it has left; returns for how long it has waited already.
+    /// Records the remaining time that a caller states, and returns how long it has already waited.
     pub fn waited(&mut self, left: Duration) -> Duration {
         let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-        self.note(left);
-        if self.total < LEAST_TOLD {
+        self.record(left);
+        if self.total < MIN_OBSERVATIONS {
             return Duration::ZERO;
         }
-        let least = (f64::from(self.total) * HABIT_PART).max(HABIT_LEAST);
-        let mut longer = self.told.range(left..);
-        let begun = longer.find(|(_, count)| f64::from(**count) >= least);
-        let waited = begun.map_or(0, |(begun, _)| begun - left);
-        Some(Duration::from_millis(waited)).filter(|it| *it >= LEAST_WAITED).unwrap_or_default()
+        let min_count = (f64::from(self.total) * MIN_START_SHARE).max(MIN_START_COUNT);
+        let mut longer = self.counts.range(left..);
+        let start = longer.find(|(_, count)| f64::from(**count) >= min_count);
+        let waited = start.map_or(0, |(start, _)| start - left);
+        Some(Duration::from_millis(waited)).filter(|it| *it >= MIN_WAITED).unwrap_or_default()
     }
 
-    fn note(&mut self, left: u64) {
-        *self.told.entry(left).or_default() += 1;
+    fn record(&mut self, left: u64) {
+        *self.counts.entry(left).or_default() += 1;
         self.total += 1;
-        if self.total > MOST_TOLD {
-            self.told.values_mut().for_each(|count| *count /= 2);
-            self.told.retain(|_, count| *count > 0);
-            self.total = self.told.values().sum();
+        if self.total > MAX_OBSERVATIONS {
+            self.counts.values_mut().for_each(|count| *count /= 2);
+            self.counts.retain(|_, count| *count > 0);
+            self.total = self.counts.values().sum();
         }
     }
 }
--- a/crates/ryetide-core/src/pace.rs
+++ b/crates/ryetide-core/src/pace.rs
@@ -1,8 +1,8 @@
-//! How fast a target works, learnt from the answers that pass by.
+//! Estimates a target's speed from the answers that this VM passes on.
 //!
-//! Unlike engines differ several times over in speed, and one that slows down must be noticed within
-//! seconds. Each VM sees only its own part of a target's answers, so estimates carry a weight that
-//! fades with time, and the estimates of all VMs are put together by weight.
+//! The speeds of engines differ several times over, and a slowdown must be detected within seconds.
+//! Each VM sees only a share of a target's answers, so an estimate carries a weight that decays
+//! with time, and the estimates of all VMs are combined by weight.
 
 use std::time::Duration;
 
@@ -10,28 +10,28 @@
 
 use crate::units::{Moment, Tokens};
 
-/// Observations count at most this many times, so that a change of speed is believed after about as
+/// The largest weight of earlier observations, so that a changed speed is followed after about as
 /// many new ones.
-const GREATEST_WEIGHT: f64 = 6.0;
-/// An observation's weight halves in this time: about two seconds of answers are remembered.
+const MAX_WEIGHT: f64 = 6.0;
+/// The time in which an observation's weight halves: answers of about two seconds count.
 const HALF_LIFE: Duration = Duration::from_millis(2_000);
-/// The weight with which the assumed speed counts beside observations.
+/// The weight of the assumed speed beside observations.
 const ASSUMED_WEIGHT: f64 = 0.3;
-/// One observation moves an estimate to at most this many times its value, or to this part of it:
-/// a single answer that waited behind others says little of the speed.
-const GREATEST_JUMP: f64 = 4.0;
+/// The largest factor by which one observation counts as different from the estimate: a single
+/// answer that waited behind others says little about the speed.
+const MAX_FACTOR: f64 = 4.0;
 
-/// A figure learnt from observations whose weight fades.
+/// A mean of observations whose weight decays with time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct FadingMean {
     /// The mean.
     pub mean: f32,
-    /// How many observations it stands for.
+    /// The number of observations that the mean represents.
     pub weight: f32,
 }
 
 impl FadingMean {
-    fn faded(self, passed: Duration) -> Self {
+    fn decayed(self, passed: Duration) -> Self {
         let halves = passed.as_secs_f64() / HALF_LIFE.as_secs_f64();
         Self { mean: self.mean, weight: (f64::from(self.weight) * 0.5_f64.powf(halves)) as f32 }
     }
@@ -39,36 +39,36 @@
     fn add(&mut self, observed: f64) {
         let (mean, weight) = (f64::from(self.mean), f64::from(self.weight));
         let bounded = if weight > 0.5 {
-            observed.clamp(mean / GREATEST_JUMP, mean * GREATEST_JUMP)
+            observed.clamp(mean / MAX_FACTOR, mean * MAX_FACTOR)
         } else {
             observed
         };
         let total = weight + 1.0;
         self.mean = ((mean * weight + bounded) / total) as f32;
-        self.weight = total.min(GREATEST_WEIGHT) as f32;
+        self.weight = total.min(MAX_WEIGHT) as f32;
     }
 }
 
-/// A learnt figure and when it was last brought up to date.
+/// A mean and when it was last updated.
 #[derive(Clone, Copy, Debug, Default)]
-struct LearntFigure {
-    figure: FadingMean,
+struct TimedMean {
+    mean: FadingMean,
     at: Moment,
 }
 
-impl LearntFigure {
+impl TimedMean {
     fn add(&mut self, now: Moment, observed: f64) {
-        self.figure = self.at(now);
-        self.figure.add(observed);
+        self.mean = self.at(now);
+        self.mean.add(observed);
         self.at = now;
     }
 
     fn at(&self, now: Moment) -> FadingMean {
-        self.figure.faded(now.since(self.at))
+        self.mean.decayed(now.since(self.at))
     }
 }
 
-/// What one VM has learnt of one target's speed, as it tells its peers.
+/// One VM's observations of one target's speed, as sent to peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct PaceReport {
     /// Microseconds for each prompt token.
@@ -77,7 +77,7 @@
     pub event: FadingMean,
 }
 
-/// What is assumed of a target before anything was observed.
+/// The speed assumed of a target before anything was observed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AssumedPace {
     /// Time to read one prompt token.
@@ -89,7 +89,8 @@
 }
 
 impl Default for AssumedPace {
-    /// An engine of the middle of today's range: 50 prompt tokens a millisecond.
+    /// Returns the speed of an engine in the middle of the usual range: 50 prompt tokens per
+    /// millisecond.
     fn default() -> Self {
         Self {
             prompt_token: Duration::from_nanos(20_000),
@@ -99,19 +100,20 @@
     }
 }
 
-/// Prompts shorter than this teach no reading speed: their time is nearly all overhead.
-const LEARNING_PROMPT: u64 = 400;
+/// Prompts shorter than this give no estimate of the reading speed, since overhead takes nearly all
+/// of their time.
+const MIN_PROMPT_TOKENS: u64 = 400;
 
-/// One target's speed as this VM has learnt it.
+/// One target's speed as observed by this VM.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TargetPace {
-    prompt: LearntFigure,
-    event: LearntFigure,
+    prompt: TimedMean,
+    event: TimedMean,
 }
 
 impl TargetPace {
-    /// Learns from a stream's first event, which came `waited` after the dispatch with `tokens` of
-    /// prompt to be read before it, its own included.
+    /// Records a stream's first event, which came `waited` after the dispatch. The target had to
+    /// read `tokens` of prompts before it, including the stream's own prompt.
     pub fn note_first(
         &mut self,
         now: Moment,
@@ -119,37 +121,37 @@
         tokens: Tokens,
         waited: Duration,
     ) {
-        if tokens.0 < LEARNING_PROMPT {
+        if tokens.0 < MIN_PROMPT_TOKENS {
             return;
         }
         let reading = waited.saturating_sub(assumed.overhead).max(Duration::from_millis(1));
         self.prompt.add(now, reading.as_secs_f64() * 1e6 / tokens.0 as f64);
     }
 
-    /// Learns from the pause between two events of a stream.
+    /// Records the pause between two events of a stream.
     pub fn note_event(&mut self, now: Moment, pause: Duration) {
         self.event.add(now, pause.as_secs_f64() * 1e6);
     }
 
-    /// Returns what this VM has learnt.
+    /// Returns this VM's observations.
     pub fn report(&self, now: Moment) -> PaceReport {
         PaceReport { prompt: self.prompt.at(now), event: self.event.at(now) }
     }
 }
 
-/// One target's speed, put together from what all VMs have learnt.
+/// One target's speed, combined from the observations of all VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaceEstimate {
     /// Time to read one prompt token.
     pub prompt_token: Duration,
     /// Time between two events of a stream.
     pub event: Duration,
-    /// How many observations the estimate stands for.
+    /// The number of observations that the estimate represents.
     pub weight: f32,
 }
 
 impl PaceEstimate {
-    /// Puts reports together with what is assumed.
+    /// Combines reports with the assumed speed.
     ///
     /// # Example
     ///
@@ -170,7 +172,7 @@
         Self { prompt_token: prompt.mean(), event: event.mean(), weight }
     }
 
-    /// Returns the time that `tokens` of prompt take to be read.
+    /// Returns the time that the target needs to read `tokens` of prompt.
     pub fn reading_time(&self, tokens: u64) -> Duration {
         Duration::from_nanos(self.prompt_token.as_nanos() as u64 * tokens)
     }
@@ -186,9 +188,9 @@
         Self { sum: assumed.as_secs_f64() * 1e6 * ASSUMED_WEIGHT, weight: ASSUMED_WEIGHT }
     }
 
-    fn add(&mut self, figure: FadingMean) {
-        self.sum += f64::from(figure.mean) * f64::from(figure.weight);
-        self.weight += f64::from(figure.weight);
+    fn add(&mut self, mean: FadingMean) {
+        self.sum += f64::from(mean.mean) * f64::from(mean.weight);
+        self.weight += f64::from(mean.weight);
     }
 
     fn mean(&self) -> Duration {
--- a/crates/ryetide-core/src/quota.rs
+++ b/crates/ryetide-core/src/quota.rs
@@ -1,12 +1,13 @@
-//! What organisations may use over all entry VMs together.
+//! Usage limits of organisations over all entry VMs together.
 //!
-//! Every VM counts what it let through for each organisation since it started, and tells its peers
-//! the running total. A VM's bucket is drained by its own use and by what the peers report, so all
-//! buckets show nearly the same level without anyone being asked before a request goes out.
+//! Every VM counts the units that each organisation has used at this VM since it started, and sends
+//! the running totals to its peers. Each VM keeps a token bucket per organisation, drained by its
+//! own use and by what peers report, so all buckets have nearly the same level without a query
+//! before each request.
 //!
-//! A VM that cannot hear some of its peers fills its bucket more slowly, by the part of the VMs that
-//! it hears. The parts of a partition's two sides add up to one, so the rate over all VMs stays the
-//! agreed one whoever is cut off.
+//! A VM that cannot reach some of its peers fills its buckets more slowly, by the share of the VMs
+//! that it can reach. In a network partition the shares of both sides add up to one, so the total
+//! rate stays the agreed one.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,12 +20,12 @@
     units::Moment,
 };
 
-/// What one unit of a quota is.
+/// The unit in which a quota is counted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuotaUnit {
     /// A request.
     Requests,
-    /// A token, prompt and generated.
+    /// A token, of the prompt or generated.
     Tokens,
 }
 
@@ -43,18 +44,18 @@
 /// An organisation's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRule {
-    /// What is counted.
+    /// The unit in which use is counted.
     pub unit: QuotaUnit,
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units that may be used at once after a quiet time.
+    /// The capacity of the bucket: units that may be used at once after a time without use.
     pub burst: f64,
-    /// Tokens that a request counts as when it does not say how many it takes.
+    /// The tokens charged for a request that does not state its size.
     pub default_tokens: u64,
 }
 
 impl QuotaRule {
-    /// Returns the units that a request of `tokens` takes.
+    /// Returns the units that a request of `tokens` costs.
     pub fn cost_of(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
@@ -63,10 +64,10 @@
     }
 }
 
-/// A bucket less full than this part of a burst may be empty before peers next hear of it.
-const SHORT_PART: f64 = 0.5;
+/// A bucket below this share of its burst may be empty before the next digest reaches the peers.
+const LOW_LEVEL_SHARE: f64 = 0.5;
 
-/// What a request takes from its organisation's bucket.
+/// The units charged to an organisation's bucket for a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QuotaCharge {
     /// The organisation.
@@ -75,20 +76,20 @@
     pub units: u64,
 }
 
-/// One organisation's bucket as this VM sees it.
+/// One organisation's bucket at this VM.
 #[derive(Debug)]
 struct QuotaBucket {
     level: f64,
     rate: f64,
     burst: f64,
     filled_at: Moment,
-    /// Units that this VM has let through since it started.
+    /// Units used at this VM since it started.
     spent: u64,
-    /// When that last changed.
+    /// When `spent` last changed.
     spent_at: Moment,
 }
 
-/// What peers used of an organisation's quota before this VM had a bucket for it.
+/// What peers reported of an organisation's use before this VM had a bucket for it.
 #[derive(Clone, Copy, Debug)]
 struct EarlyUse {
     since: Moment,
@@ -96,7 +97,7 @@
 }
 
 impl EarlyUse {
-    /// What is left of a full bucket.
+    /// Returns the level of a bucket that was full before the reported use.
     fn level(&self, now: Moment, rate: f64, burst: f64) -> f64 {
         let filled = now.since(self.since).as_secs_f64() * rate;
         (burst - self.units + filled).clamp(-burst, burst)
@@ -123,54 +124,55 @@
 #[derive(Debug)]
 pub struct QuotaLedger {
     buckets: BTreeMap<OrganisationKey, QuotaBucket>,
-    /// The running totals last heard from each peer.
-    heard: BTreeMap<(VmName, OrganisationKey), u64>,
-    /// The peers that have told all their totals: of an organisation that they did not name, nothing was used.
-    whole: BTreeSet<VmName>,
-    /// What peers used of organisations for which nobody has asked here yet.
-    early: BTreeMap<OrganisationKey, EarlyUse>,
-    /// The part of the entry VMs that this one hears, itself included.
-    heard_part: f64,
+    /// The last running totals received from each peer.
+    peer_totals: BTreeMap<(VmName, OrganisationKey), u64>,
+    /// The peers that have sent all their totals. An organisation missing from these totals has
+    /// used nothing there.
+    complete_peers: BTreeSet<VmName>,
+    /// What peers reported for organisations without a bucket at this VM.
+    early_use: BTreeMap<OrganisationKey, EarlyUse>,
+    /// The share of the entry VMs that this one can reach, including itself.
+    reachable_share: f64,
 }
 
 impl Default for QuotaLedger {
     fn default() -> Self {
         Self {
             buckets: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            whole: BTreeSet::new(),
-            early: BTreeMap::new(),
-            heard_part: 1.0,
+            peer_totals: BTreeMap::new(),
+            complete_peers: BTreeSet::new(),
+            early_use: BTreeMap::new(),
+            reachable_share: 1.0,
         }
     }
 }
 
 impl QuotaLedger {
-    /// Sets the part of the entry VMs that this one hears, itself included; 1 is all of them.
+    /// Sets the share of the entry VMs that this one can reach, including itself; 1 means all.
     ///
-    /// What is left in a bucket is this VM's part of what is left for all VMs that it hears, so it grows and
-    /// shrinks with them. After all VMs were killed at once each starts with its own part of a burst; kept at
-    /// that when they heard each other, nine VMs let an organisation that had used nothing have 1,206 units in
-    /// the first second, of 1,800 that its rate and its burst give.
-    pub fn set_heard_part(&mut self, part: f64) {
-        let part = part.clamp(0.0, 1.0);
-        let change = if self.heard_part > 0.0 { part / self.heard_part } else { 1.0 };
-        self.heard_part = part;
+    /// A bucket's level is this VM's share of what is left for all reachable VMs, so it scales with
+    /// the share. VMs that start together each begin with a small share of the burst. If the level
+    /// stayed there once they reach each other, organisations that have used nothing would get much
+    /// less than their rate and burst in the first second.
+    pub fn set_heard_part(&mut self, share: f64) {
+        let share = share.clamp(0.0, 1.0);
+        let change = if self.reachable_share > 0.0 { share / self.reachable_share } else { 1.0 };
+        self.reachable_share = share;
         for bucket in self.buckets.values_mut() {
             bucket.rate *= change;
             bucket.burst *= change;
-            // A debt stays: it was run up by all of them.
+            // A debt is kept unscaled, since all VMs together caused it.
             if bucket.level > 0.0 {
                 bucket.level *= change;
             }
         }
     }
 
-    /// Takes what a request costs from its organisation's bucket.
+    /// Charges a request to its organisation's bucket.
     ///
     /// # Errors
     ///
-    /// Returns the time after which as many units will be there, when they are not now.
+    /// Returns the time until enough units are available, if they are not available now.
     pub fn take(
         &mut self,
         now: Moment,
@@ -180,28 +182,29 @@
         self.take_above(now, rule, charge, 0.0)
     }
 
-    /// Takes what a request costs from a bucket in which `room` units are left then.
+    /// Charges a request to its organisation's bucket, if that leaves `headroom` units in it.
     ///
     /// # Errors
     ///
-    /// Returns the time after which as many units will be there, when they are not now.
+    /// Returns the time until enough units are available, if they are not available now.
     pub fn take_above(
         &mut self,
         now: Moment,
         rule: &QuotaRule,
         charge: QuotaCharge,
-        room: f64,
+        headroom: f64,
     ) -> Result<(), Duration> {
         let QuotaCharge { key, units } = charge;
-        let (rate, burst) = (rule.rate * self.heard_part, rule.burst * self.heard_part);
+        let (rate, burst) = (rule.rate * self.reachable_share, rule.burst * self.reachable_share);
         let bucket = self.buckets.entry(key).or_insert_with(|| {
-            let early = self.early.remove(&key);
+            let early = self.early_use.remove(&key);
             let level = early.map_or(burst, |early| early.level(now, rate, burst));
             QuotaBucket { level, rate, burst, filled_at: now, spent: 0, spent_at: now }
         });
         bucket.fill(now, rate, burst);
-        // A request larger than the burst is let through from a full bucket, or it never would be.
-        let needed = (units as f64 + room).min(burst);
+        // A request larger than the burst is admitted with a full bucket, since it never could be
+        // otherwise.
+        let needed = (units as f64 + headroom).min(burst);
         if bucket.level < needed {
             return Err(refill_time(needed - bucket.level, rate));
         }
@@ -211,13 +214,13 @@
         Ok(())
     }
 
-    /// Returns the units that this VM gives out at once after a quiet time.
+    /// Returns this VM's share of the burst.
     pub fn burst_of(&self, rule: &QuotaRule) -> f64 {
-        rule.burst * self.heard_part
+        rule.burst * self.reachable_share
     }
 
-    /// Returns the time until a request's units are there beside `more` others. It may be longer than a whole
-    /// bucket takes, since the others are taken meanwhile.
+    /// Returns the time until `more` units and those of a request are available. The result may
+    /// exceed the time to fill a whole bucket, since other requests take units meanwhile.
     pub fn time_until(
         &self,
         now: Moment,
@@ -225,7 +228,7 @@
         charge: QuotaCharge,
         more: f64,
     ) -> Duration {
-        let rate = rule.rate * self.heard_part;
+        let rate = rule.rate * self.reachable_share;
         let level = self.buckets.get(&charge.key).map_or(0.0, |bucket| {
             let passed = now.since(bucket.filled_at).as_secs_f64();
             (bucket.level + passed * rate).min(bucket.burst)
@@ -233,7 +236,7 @@
         refill_time(charge.units as f64 + more - level, rate)
     }
 
-    /// Puts back what a request took that did not run after all.
+    /// Refunds the units of a request that did not run.
     pub fn give_back(&mut self, charge: QuotaCharge) {
         if let Some(bucket) = self.buckets.get_mut(&charge.key) {
             bucket.level += charge.units as f64;
@@ -241,62 +244,64 @@
         }
     }
 
-    /// Takes a peer's running total. One that a peer names first is only remembered, unless all its totals were
-    /// known before: what it let through before this VM heard of it cannot be told from what it lets through now.
+    /// Applies a running total received from a peer.
     ///
-    /// With hundreds of VMs such first requests are much of what an organisation may use. Counted at no other VM,
-    /// and each VM taking a bucket that it had not used yet for full, 195 VMs that had started together let an
-    /// organisation at three times its usual load have 5.50 million units in eight seconds, of 5.18 million.
+    /// The first total from a peer only sets the base, unless the peer has sent all its totals
+    /// before: use from before the peer was known cannot be told from new use. With hundreds of
+    /// VMs, such first requests are a large part of an organisation's use. If they counted at no
+    /// other VM, and each VM took an unused bucket as full, organisations over their rate could
+    /// exceed their quota after all VMs start together.
     ///
-    /// What a peer let through while it was taken for unheard came from its own part of the rate, which this VM
-    /// did not fill its buckets with. Charged at the end of a cut of six seconds, it put all organisations in
-    /// debt at once: for a second 28 of 98 requests were refused as over quota, on both sides.
+    /// Use by a peer that was unreachable for `unreachable_for` counts only in part. It came from the
+    /// peer's own share of the rate, which this VM did not add to its buckets. Counted in full at
+    /// the end of a network partition, it would put all organisations in debt at once, and their
+    /// requests would be refused on both sides.
     pub fn note_peer(
         &mut self,
         now: Moment,
         peer: &VmName,
         key: OrganisationKey,
         total: u64,
-        unheard: Duration,
+        unreachable_for: Duration,
     ) {
-        let first = if self.whole.contains(peer) { 0 } else { total };
-        let before = self.heard.insert((peer.clone(), key), total).unwrap_or(first);
-        let counted = HEARD_SPAN.as_secs_f64() / unheard.max(HEARD_SPAN).as_secs_f64();
+        let first = if self.complete_peers.contains(peer) { 0 } else { total };
+        let before = self.peer_totals.insert((peer.clone(), key), total).unwrap_or(first);
+        let counted = HEARD_SPAN.as_secs_f64() / unreachable_for.max(HEARD_SPAN).as_secs_f64();
         let used = total.saturating_sub(before) as f64 * counted;
         match self.buckets.get_mut(&key) {
             Some(bucket) => {
-                // What has come in since the last request here is counted first. Else the use of three seconds
-                // would pass for a debt, of which no more than a burst is paid back: a VM that an organisation
-                // asks seldom would always find its bucket full.
+                // Adds the refill since the last request at this VM first. Otherwise the use of
+                // several seconds would count as debt, which is capped at one burst, and a VM that
+                // an organisation uses rarely would always have a full bucket.
                 bucket.fill(now, bucket.rate, bucket.burst);
                 bucket.level -= used;
             }
             None => {
                 let new = EarlyUse { since: now, units: 0.0 };
-                self.early.entry(key).or_insert(new).units += used;
+                self.early_use.entry(key).or_insert(new).units += used;
             }
         }
     }
 
-    /// Notes that a peer has told all its totals.
+    /// Records that a peer has sent all its totals.
     pub fn note_whole(&mut self, peer: &VmName) {
-        if !self.whole.contains(peer) {
-            self.whole.insert(peer.clone());
+        if !self.complete_peers.contains(peer) {
+            self.complete_peers.insert(peer.clone());
         }
     }
 
-    /// Forgets a peer's totals: it has started anew.
+    /// Removes a peer's totals after the peer has restarted.
     pub fn forget_peer(&mut self, peer: &VmName) {
-        self.heard.retain(|(name, _), _| name != peer);
-        self.whole.remove(peer);
+        self.peer_totals.retain(|(name, _), _| name != peer);
+        self.complete_peers.remove(peer);
     }
 
-    /// Returns whether an organisation has used up more than half of what it may use at once.
+    /// Whether any organisation has used more than half of its burst.
     pub fn is_short(&self) -> bool {
-        self.buckets.values().any(|bucket| bucket.level < bucket.burst * SHORT_PART)
+        self.buckets.values().any(|bucket| bucket.level < bucket.burst * LOW_LEVEL_SHARE)
     }
 
-    /// Returns those of this VM's own running totals that have changed since a moment.
+    /// Returns this VM's own running totals that have changed since a moment.
     pub fn totals_since(&self, since: Moment) -> impl Iterator<Item = (OrganisationKey, u64)> + '_ {
         let changed = self.buckets.iter().filter(move |(_, bucket)| bucket.spent_at >= since);
         changed.map(|(key, bucket)| (*key, bucket.spent))
@@ -308,7 +313,7 @@
     }
 }
 
-/// Returns the time in which `missing` units come in, at most a minute.
+/// Returns the time in which `missing` units are refilled, at most a minute.
 fn refill_time(missing: f64, rate: f64) -> Duration {
     Duration::from_secs_f64((missing / rate.max(1e-3)).clamp(0.0, 60.0))
 }
@@ -318,8 +323,8 @@
         let passed = now.since(self.filled_at).as_secs_f64();
         self.filled_at = now;
         (self.rate, self.burst) = (rate, burst);
-        // Several VMs may have let requests through at the same moment; the debt is paid back, but
-        // never more than a burst of it, so that a garbled total cannot shut an organisation out.
+        // Several VMs may have admitted requests at the same moment. The debt is paid back, but at
+        // most one burst of it, so that a corrupted total cannot lock an organisation out.
         self.level = (self.level.max(-burst) + passed * rate).min(burst);
     }
 }
--- a/crates/ryetide-core/src/quota_desk.rs
+++ b/crates/ryetide-core/src/quota_desk.rs
@@ -1,20 +1,20 @@
-//! Who gets the units of an organisation's quota when not all can have them at once.
+//! Allocates an organisation's quota units to its requests by urgency.
 //!
-//! Answers an organisation that asks for more than its rate for a second or for minutes. Taken by whoever came
-//! first, its units went to what is asked most often, and its most urgent requests were told to come back: of
-//! 1,745 that were within the quota on one day, 299. Here the urgent go first:
+//! An organisation may ask for more than its rate, for a second or for minutes. In order of
+//! arrival, its units would go to its most frequent kind of request, and its most urgent requests
+//! would be refused. With this module the more urgent requests come first:
 //!
-//! * A request whose units are not there yet waits for them, if they can be there before it is late: at the rate of
-//!   today's organisations, units for a mean request come back within 30 ms. Those who wait are served by tier.
-//! * A less urgent request leaves room in the bucket for what its organisation's more urgent ones are seen to cost,
-//!   so that one of those, here or at another VM, finds its units. That holds the bucket a little above empty and
-//!   costs no units: what comes in beyond it goes to whoever asks.
-//! * What costs little leaves little room: refusing it would spare next to nothing.
+//! * A request whose units are not available yet waits for them, if they can be available before it
+//!   is late. At usual rates, the units for a mean request are refilled within 30 ms. Waiting
+//!   requests are served by tier.
+//! * A less urgent request leaves headroom in the bucket for the observed cost of its
+//!   organisation's more urgent requests, so that one of these, here or at another VM, finds its
+//!   units. The headroom keeps the bucket a little above empty and costs no units: whatever is
+//!   refilled beyond it is available to every request.
+//! * A cheap request leaves only a small headroom, since refusing it would save next to nothing.
 //!
-//! Played without processor time charged, two seeds a day, with eight VMs: on calm days 0.848 of all worth to 0.924,
-//! on days with organisations far over their rates 0.743 to 0.777 and 0.834 to 0.873.
-//!
-//! The sum over all VMs stays what [`QuotaLedger`] gives out; this only decides to whom.
+//! The sum over all VMs is still limited by [`QuotaLedger`]; this module decides only which
+//! requests get the units.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -24,29 +24,33 @@
     units::{Moment, TierRank},
 };
 
-/// How many mean requests of each more urgent class a less urgent one leaves room for, times the number of those
-/// classes: the last in rank, which cost least by the request, would else pass where the ones before them do not.
-/// With 3 a calm day had 0.915 of all worth, with 5 0.924; with 24 of each class, whatever the rank, calm days of
-/// other deployments fell by up to 0.03.
-const ROOM_REQUESTS: f64 = 5.0;
-/// The most room that a request leaves, as a multiple of what it costs itself: an order of 200 units passes where a
-/// review of 4,000 finds its units. 12 and 30 differed by less than the spread; 60 cost up to 0.03 on other deployments.
-const ROOM_PER_COST: f64 = 30.0;
-/// The most of a burst that is kept as room: the rest always goes to whoever asks first. 0.8 cost up to 0.03 on calm
-/// days of other deployments.
-const ROOM_PART: f64 = 0.5;
-/// A class that was not seen for this long needs no room: at today's loads each organisation asks for every class
-/// several times a second, so a class that is away this long is not used.
-const CLASS_LIFE: Duration = Duration::from_secs(5);
-/// How fast the mean cost of a class follows new requests: some ten of them, so that one large prompt does not set it.
+/// The mean requests of each more urgent class for which a less urgent request leaves headroom.
+/// The headroom is also multiplied by the number of those classes: without that, requests of the
+/// lowest class, which cost least each, would be admitted where the classes before them are not. A
+/// lower value serves less of the urgent work on days of usual load; a much larger headroom for each
+/// class, whatever its rank, refuses too much of the rest.
+const HEADROOM_REQUESTS: f64 = 5.0;
+/// The largest headroom, as a multiple of the request's own cost: a request of 200 units is admitted
+/// while the bucket still holds the units for a request of 4,000. Results hardly depend on the value
+/// between 12 and 30; with 60, too many less urgent requests are refused.
+const MAX_HEADROOM_PER_COST: f64 = 30.0;
+/// The largest share of a burst that is kept as headroom. The rest is always available to the first
+/// request. With a share of 0.8, too many less urgent requests are refused on days of usual load.
+const MAX_HEADROOM_SHARE: f64 = 0.5;
+/// How long a class counts as used after its last request. At usual loads an organisation sends
+/// requests of every class several times a second, so a class without requests for this long needs
+/// no headroom.
+const CLASS_TTL: Duration = Duration::from_secs(5);
+/// The weight of a new request in the mean cost of its class: some ten requests count, so that a
+/// single large prompt does not determine the mean.
 const COST_WEIGHT: f64 = 0.1;
 
-/// How urgent a request is among those of its organisation; the least goes first.
+/// The urgency of a request among those of its organisation; the smallest class goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct QuotaClass {
-    /// Its tier.
+    /// The request's tier.
     pub tier: TierRank,
-    /// The rank of its route.
+    /// The rank of the request's route.
     pub route_tier: TierRank,
 }
 
@@ -55,48 +59,48 @@
 pub struct QuotaAsk {
     /// The request.
     pub ticket: RequestSequence,
-    /// The organisation, and the units.
+    /// The organisation and the units.
     pub charge: QuotaCharge,
-    /// What the organisation may use.
+    /// The organisation's quota.
     pub rule: QuotaRule,
-    /// How urgent it is.
+    /// The urgency of the request.
     pub class: QuotaClass,
-    /// Whether it has missed its objective; it then stands behind those of its class that have not.
+    /// Whether the request has missed its objective; it then comes after the others of its class.
     pub late: bool,
-    /// Until when it may wait for its units.
+    /// How long the request may wait for its units.
     pub wait_until: Moment,
 }
 
-/// What becomes of a request for units.
+/// The immediate result of a request for units.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuotaAnswer {
-    /// They were taken.
+    /// The units were charged.
     Taken,
-    /// It waits; a [`QuotaVerdict`] follows.
+    /// The request waits; a [`QuotaVerdict`] follows.
     Waits,
-    /// The quota is used up, and this is when to come back.
+    /// The quota is used up; the caller should retry after this delay.
     Over(Duration),
 }
 
-/// The end of a wait for units: taken, or when to come back.
+/// The result of a wait for units.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QuotaVerdict {
     /// The request.
     pub ticket: RequestSequence,
-    /// What it would cost, or has.
+    /// The units that were charged, or would have been.
     pub charge: QuotaCharge,
-    /// The outcome.
+    /// The charge, or the delay after which the caller should retry.
     pub outcome: Result<(), Duration>,
 }
 
-/// What requests of one class are seen to cost.
+/// The observed cost of the requests of one class.
 #[derive(Clone, Copy, Debug)]
 struct ClassCost {
     mean: f64,
     seen: Moment,
 }
 
-/// The quotas of all organisations, and who waits for them.
+/// The quotas of all organisations and the requests that wait for units.
 ///
 /// # Example
 ///
@@ -113,9 +117,9 @@
 /// let charge = QuotaCharge { key: OrganisationKey(7), units: 1 };
 /// let (now, ticket) = (Moment::from_millis(1), RequestSequence(1));
 /// let ask = QuotaAsk { ticket, charge, rule, class, late: false, wait_until: now };
-/// let mut desk = QuotaDesk::default();
-/// assert_eq!(desk.ask(now, ask), QuotaAnswer::Taken);
-/// assert!(matches!(desk.ask(now, ask), QuotaAnswer::Over(_)));
+/// let mut allocator = QuotaDesk::default();
+/// assert_eq!(allocator.ask(now, ask), QuotaAnswer::Taken);
+/// assert!(matches!(allocator.ask(now, ask), QuotaAnswer::Over(_)));
 /// ```
 #[derive(Debug, Default)]
 pub struct QuotaDesk {
@@ -130,32 +134,33 @@
         &self.ledger
     }
 
-    /// Returns the buckets, to note what peers say.
+    /// Returns the buckets, to apply what peers report.
     pub fn ledger_mut(&mut self) -> &mut QuotaLedger {
         &mut self.ledger
     }
 
-    /// Returns whether somebody waits for units.
+    /// Whether any request waits for units.
     pub fn is_waited_at(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Forgets what a peer said; see [`QuotaLedger::forget_peer`].
+    /// Removes a peer's totals; see [`QuotaLedger::forget_peer`].
     pub fn forget_peer(&mut self, peer: &VmName) {
         self.ledger.forget_peer(peer);
     }
 
-    /// Takes a request for units.
+    /// Handles a request for units: charges it, queues it, or refuses it.
     pub fn ask(&mut self, now: Moment, ask: QuotaAsk) -> QuotaAnswer {
-        self.note_cost(now, &ask);
+        self.record_cost(now, &ask);
         let key = ask.charge.key;
-        let is_passed = self.waiting.iter().any(|it| it.charge.key == key && goes_before(it, &ask));
-        let room = self.room(now, &ask);
-        // Units for which somebody before it waits are not its to take.
-        if !is_passed && self.ledger.take_above(now, &ask.rule, ask.charge, room).is_ok() {
+        let others_first =
+            self.waiting.iter().any(|it| it.charge.key == key && goes_before(it, &ask));
+        let headroom = self.headroom(now, &ask);
+        // Units that a request before this one waits for are not available to it.
+        if !others_first && self.ledger.take_above(now, &ask.rule, ask.charge, headroom).is_ok() {
             return QuotaAnswer::Taken;
         }
-        let wait = self.expected_wait(now, &ask, room);
+        let wait = self.expected_wait(now, &ask, headroom);
         if now + wait > ask.wait_until {
             return QuotaAnswer::Over(wait);
         }
@@ -163,64 +168,66 @@
         QuotaAnswer::Waits
     }
 
-    /// Gives out the units that have come in, and ends the waits that have lasted long enough.
+    /// Allocates the refilled units to waiting requests, and ends the waits that have reached their
+    /// limit.
     pub fn advance(&mut self, now: Moment) -> Vec<QuotaVerdict> {
         let mut verdicts = Vec::new();
         self.waiting.sort_by_key(order);
-        let mut passed: Vec<OrganisationKey> = Vec::new();
+        let mut blocked: Vec<OrganisationKey> = Vec::new();
         for ask in std::mem::take(&mut self.waiting) {
             let QuotaAsk { ticket, charge, .. } = ask;
-            let room = self.room(now, &ask);
-            let taken = if passed.contains(&charge.key) {
-                // Whoever is before it in line has not got its units yet.
+            let headroom = self.headroom(now, &ask);
+            let taken = if blocked.contains(&charge.key) {
+                // An earlier request of the organisation still waits for its units.
                 false
             } else {
-                self.ledger.take_above(now, &ask.rule, charge, room).is_ok()
+                self.ledger.take_above(now, &ask.rule, charge, headroom).is_ok()
             };
             if taken {
                 verdicts.push(QuotaVerdict { ticket, charge, outcome: Ok(()) });
             } else if now >= ask.wait_until {
-                let wait = self.expected_wait(now, &ask, room);
+                let wait = self.expected_wait(now, &ask, headroom);
                 verdicts.push(QuotaVerdict { ticket, charge, outcome: Err(wait) });
             } else {
-                passed.push(charge.key);
+                blocked.push(charge.key);
                 self.waiting.push(ask);
             }
         }
         verdicts
     }
 
-    /// Removes a request whose caller has left.
+    /// Removes a waiting request whose caller has disconnected.
     pub fn leave(&mut self, ticket: RequestSequence) {
         self.waiting.retain(|ask| ask.ticket != ticket);
     }
 
-    /// Puts back what a request took that did not run after all.
+    /// Refunds the units of a request that did not run.
     pub fn give_back(&mut self, charge: QuotaCharge) {
         self.ledger.give_back(charge);
     }
 
-    /// Returns the units that must be left when `ask` has taken its own.
-    fn room(&self, now: Moment, ask: &QuotaAsk) -> f64 {
+    /// Returns the units that must be left after `ask` is charged.
+    fn headroom(&self, now: Moment, ask: &QuotaAsk) -> f64 {
         let key = ask.charge.key;
         let first = (key, QuotaClass { tier: TierRank(0), route_tier: TierRank(0) });
         let urgent = self.costs.range(first..(key, ask.class));
-        let seen = urgent.filter(|(_, cost)| now.since(cost.seen) < CLASS_LIFE);
+        let seen = urgent.filter(|(_, cost)| now.since(cost.seen) < CLASS_TTL);
         let means: Vec<f64> = seen.map(|(_, cost)| cost.mean).collect();
-        let room = means.iter().sum::<f64>() * means.len() as f64 * ROOM_REQUESTS;
-        let by_cost = ask.charge.units as f64 * ROOM_PER_COST;
-        room.min(by_cost).min(self.ledger.burst_of(&ask.rule) * ROOM_PART)
+        let headroom = means.iter().sum::<f64>() * means.len() as f64 * HEADROOM_REQUESTS;
+        let max_by_cost = ask.charge.units as f64 * MAX_HEADROOM_PER_COST;
+        headroom.min(max_by_cost).min(self.ledger.burst_of(&ask.rule) * MAX_HEADROOM_SHARE)
     }
 
-    /// Returns the time until the units of those before `ask` in line, its own, and its room are there.
-    fn expected_wait(&self, now: Moment, ask: &QuotaAsk, room: f64) -> Duration {
+    /// Returns the time until the units for the requests before `ask`, for `ask` itself and for its
+    /// headroom are available.
+    fn expected_wait(&self, now: Moment, ask: &QuotaAsk, headroom: f64) -> Duration {
         let key = ask.charge.key;
         let before = self.waiting.iter().filter(|it| it.charge.key == key && goes_before(it, ask));
         let before: u64 = before.map(|it| it.charge.units).sum();
-        self.ledger.time_until(now, &ask.rule, ask.charge, room + before as f64)
+        self.ledger.time_until(now, &ask.rule, ask.charge, headroom + before as f64)
     }
 
-    fn note_cost(&mut self, now: Moment, ask: &QuotaAsk) {
+    fn record_cost(&mut self, now: Moment, ask: &QuotaAsk) {
         let units = ask.charge.units as f64;
         let new = ClassCost { mean: units, seen: now };
         let cost = self.costs.entry((ask.charge.key, ask.class)).or_insert(new);
--- a/crates/ryetide-core/src/retry.rs
+++ b/crates/ryetide-core/src/retry.rs
@@ -1,4 +1,4 @@
-//! When refused callers are told to come back.
+//! Retry delays that account for the work of callers already told to retry.
 
 use std::time::Duration;
 
@@ -6,31 +6,32 @@
 
 use crate::units::Moment;
 
-/// The least and greatest spread of a promise, as a part of it: callers refused together must not
-/// come back together.
+/// The range of the random increase, as a share of the delay, so that callers refused together do
+/// not retry together.
 const SPREAD: std::ops::Range<f64> = 0.0..0.5;
-/// Nobody is told to come back sooner than this.
-const LEAST: Duration = Duration::from_millis(200);
-/// Nobody is told to stay away longer than this.
-const GREATEST: Duration = Duration::from_secs(300);
+/// The shortest delay.
+const MIN_DELAY: Duration = Duration::from_millis(200);
+/// The longest delay.
+const MAX_DELAY: Duration = Duration::from_secs(300);
 
-/// A promise about capacity: when the work that waits, and the work of those told to come back
-/// before, will have been served.
+/// Computes retry delays from the time that waiting requests, and the expected retries of callers
+/// refused before, will take to serve.
 #[derive(Debug)]
 pub struct RetryPromise {
-    /// Work that refused callers will bring, which shrinks as time passes.
+    /// The expected work of refused callers, which decreases as time passes.
     promised: Duration,
     promised_at: Moment,
 }
 
 impl RetryPromise {
-    /// Creates a promise that nobody was given yet.
+    /// Creates a calculator for which no caller was refused yet.
     pub fn new(now: Moment) -> Self {
         Self { promised: Duration::ZERO, promised_at: now }
     }
 
-    /// Returns when the next refused caller should come back: after the `backlog` of what waits now
-    /// and what was promised before. `work` is what the caller will then take, spread over all slots.
+    /// Returns the delay after which the next refused caller should retry: the time to serve the
+    /// `backlog` of waiting requests and the retries promised before. `work` is the time that the
+    /// caller's retry will take, divided among all slots.
     pub fn next(
         &mut self,
         now: Moment,
@@ -40,12 +41,12 @@
     ) -> Duration {
         self.promised = self.promised.saturating_sub(now.since(self.promised_at));
         self.promised_at = now;
-        let base = (backlog + self.promised).clamp(LEAST, GREATEST);
-        let least_work = LEAST / LEAST_WORK_PARTS;
-        self.promised = (self.promised + work.max(least_work)).min(GREATEST);
-        base.mul_f64(1.0 + rng.random_range(SPREAD)).min(GREATEST)
+        let base = (backlog + self.promised).clamp(MIN_DELAY, MAX_DELAY);
+        let min_work = MIN_DELAY / MIN_WORK_DIVISOR;
+        self.promised = (self.promised + work.max(min_work)).min(MAX_DELAY);
+        base.mul_f64(1.0 + rng.random_range(SPREAD)).min(MAX_DELAY)
     }
 }
 
-/// A promise counts for at least this part of the shortest time away.
-const LEAST_WORK_PARTS: u32 = 100;
+/// Divides the shortest delay to give the least work that a promised retry counts for.
+const MIN_WORK_DIVISOR: u32 = 100;
--- a/crates/ryetide-core/src/retry_budget.rs
+++ b/crates/ryetide-core/src/retry_budget.rs
@@ -1,21 +1,22 @@
-//! How many requests may be sent to a second target.
+//! Limits how many requests may be sent to a second target.
 //!
-//! When every target of a service fails, repeating each failed request doubles the load on what is
-//! left. The bound is a part of the service's own requests. It is kept by each VM alone: a part of
-//! every VM's requests is the same part of all requests, and needs no message.
+//! When every target of a service fails, retrying each failed request doubles the load on the
+//! remaining ones. Retries are therefore limited to a share of the service's requests. Each VM
+//! applies the limit to its own requests: the same share at every VM is the same share of all
+//! requests, without any messages between VMs.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::{ids::ServiceName, units::Moment};
 
-/// What operators permit.
+/// The limit on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryRule {
-    /// Repeats as a part of the requests.
+    /// Retries as a share of the requests.
     pub part: f64,
-    /// The span over which both are counted.
+    /// The window over which both are counted.
     pub window: Duration,
-    /// Repeats in each window beyond the part, over all VMs together.
+    /// Retries in each window beyond the share, over all VMs together.
     pub slack: f64,
 }
 
@@ -25,27 +26,28 @@
     }
 }
 
-/// The part of what is permitted that is used. The rest covers windows that slide across a change
-/// of load: requests earn their part when they come and repeats may be sent up to a window later.
-const USED_PART: f64 = 0.7;
-/// The part of the slack that is used, over all VMs: the slack also has to cover VMs that do not
+/// The fraction of the permitted share that is used. The rest covers windows that overlap a change
+/// of load: a request adds to the budget when it arrives, and the retry may be sent up to a window
+/// later.
+const USED_SHARE: f64 = 0.7;
+/// The fraction of the slack that is used over all VMs, since the slack also covers VMs that do not
 /// know of each other yet.
 const USED_SLACK: f64 = 0.5;
 
-/// How long what requests earned may be saved: failures come in clumps, and a VM that may save no
-/// more than its slack denies repeats though the window has room. Well under the window, so that what
-/// is saved and what is earned anew stay within the part.
-const SAVED_SPAN: Duration = Duration::from_secs(4);
+/// How long unused credit from requests may be kept. Failures come in clusters, and a VM that may
+/// keep no more than its slack would deny retries although the window permits them. The span is
+/// well below the window, so that kept and new credit together stay within the share.
+const CREDIT_SPAN: Duration = Duration::from_secs(4);
 
 #[derive(Debug)]
 struct ServiceBudget {
     credit: f64,
-    /// What requests earned lately, fading over [`SAVED_SPAN`].
+    /// Credit from recent requests, which decays over [`CREDIT_SPAN`].
     earned: f64,
     at: Moment,
 }
 
-/// The repeats that this VM may still send, by service.
+/// The retries that this VM may still send, by service.
 #[derive(Debug)]
 pub struct RetryBudget {
     rule: RetryRule,
@@ -54,31 +56,31 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget of which nothing is used.
+    /// Creates an unused budget.
     pub fn new(rule: RetryRule) -> Self {
         Self { rule, vm_count: 1, services: BTreeMap::new() }
     }
 
-    /// Replaces what is permitted; what is saved stays.
+    /// Replaces the limit; accumulated credit is kept.
     pub fn set_rule(&mut self, rule: RetryRule) {
         self.rule = rule;
     }
 
-    /// Sets the number of entry VMs among which the slack is divided.
+    /// Sets the number of entry VMs that divide the slack.
     pub fn set_vm_count(&mut self, vm_count: usize) {
         self.vm_count = vm_count.max(1);
     }
 
-    /// Notes a request for `service`, which earns its part of a repeat.
+    /// Records a request for `service`, which adds credit for a share of a retry.
     pub fn note_request(&mut self, now: Moment, service: &ServiceName) {
-        let earned = self.rule.part * USED_PART;
+        let earned = self.rule.part * USED_SHARE;
         let slack = self.slack_share();
         let budget = self.budget(now, service);
         budget.earned += earned;
         budget.credit = (budget.credit + earned).min(slack + budget.earned);
     }
 
-    /// Takes one repeat, if one is left.
+    /// Consumes the credit of one retry; returns whether it was available.
     pub fn take(&mut self, now: Moment, service: &ServiceName) -> bool {
         let budget = self.budget(now, service);
         let permitted = budget.credit >= 1.0;
@@ -88,7 +90,7 @@
         permitted
     }
 
-    /// This VM's even part of the slack.
+    /// This VM's equal share of the slack.
     fn slack_share(&self) -> f64 {
         (self.rule.slack * USED_SLACK / self.vm_count as f64).max(1.0)
     }
@@ -102,9 +104,9 @@
             at: now,
         });
         let passed = now.since(budget.at);
-        let spans = passed.as_secs_f64() / SAVED_SPAN.as_secs_f64();
+        let spans = passed.as_secs_f64() / CREDIT_SPAN.as_secs_f64();
         budget.earned *= (-spans).exp();
-        // The slack comes back once a window, evenly.
+        // The slack is restored once per window, evenly over time.
         let windows = passed.as_secs_f64() / window.as_secs_f64().max(1e-3);
         budget.credit = (budget.credit + windows * slack).min(slack + budget.earned);
         budget.at = now;
--- a/crates/ryetide-core/src/target_load.rs
+++ b/crates/ryetide-core/src/target_load.rs
@@ -1,5 +1,5 @@
-//! What is believed about one target that all entry VMs share: who runs what there, how fast it is,
-//! and when a request sent now would get its first event.
+//! The state of one target as this VM knows it from its own requests and from peers' reports: the
+//! running requests, the speed, and the expected time to a first event.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -21,63 +21,64 @@
     units::{Moment, Tokens},
 };
 
-/// A peer's mark is believed for this long after it came: three missed digests at their slowest.
-const MARK_LIFE: Duration = Duration::from_millis(1_500);
-/// A run counts as stalled when nothing at all came from its target for this long beyond what was
-/// expected: twice the longest pause that a full engine was seen to make.
+/// How long a peer's report remains valid: the time of three missed digests at the longest
+/// interval.
+const REPORT_TTL: Duration = Duration::from_millis(1_500);
+/// A request counts as stalled if its target sends nothing for this long after the expected time:
+/// twice the longest pause observed from an engine with all slots in use.
 const STALL_SPAN: Duration = Duration::from_millis(800);
-/// Estimates that stand for less than this part of an observation are not worth telling.
-const TOLD_WEIGHT: f32 = 0.2;
-/// How fast the mean time of whole answers follows new ones.
-const ANSWER_WEIGHT: f64 = 0.1;
-/// The time a whole answer is assumed to take before any was observed.
-const ASSUMED_ANSWER: Duration = Duration::from_millis(50);
-
-/// One target as the platform's registry has it.
+/// Estimates with a weight below this fraction of one observation are not sent to peers.
+const MIN_REPORTED_WEIGHT: f32 = 0.2;
+/// The weight of a new observation in the mean time of whole answers.
+const ANSWER_TIME_WEIGHT: f64 = 0.1;
+/// The assumed time of a whole answer until one was observed.
+const ASSUMED_ANSWER_TIME: Duration = Duration::from_millis(50);
+
+/// One target as listed in the platform's registry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetEntry {
-    /// Its name.
+    /// The target's name.
     pub name: TargetName,
-    /// Which of the lives that have had this name.
+    /// The incarnation of the target that has this name now.
     pub life: TargetLife,
-    /// The service it belongs to.
+    /// The service that the target belongs to.
     pub service: ServiceName,
-    /// The version of its software.
+    /// The version of the target's software.
     pub version: VersionName,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: net::SocketAddr,
-    /// Its data centre.
+    /// The target's data centre.
     pub data_centre: DataCentreName,
-    /// Requests that it works on at once.
+    /// The number of requests that the target processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving and must get no new work.
+    /// Whether the target is leaving and must get no new requests.
     pub leaving: bool,
-    /// How much longer it is slow after its start.
+    /// How much longer the target will be slow after its start.
     pub warmup: Duration,
 }
 
 impl TargetEntry {
-    /// Returns the key of this life of the target.
+    /// Returns the key of this incarnation of the target.
     pub fn key(&self) -> TargetKey {
         TargetKey::of_life(&self.name, self.life)
     }
 }
 
-/// One request that this VM has at the target.
+/// One request that this VM has running at the target.
 #[derive(Clone, Debug)]
 struct OwnRun {
     sent: Moment,
-    /// Prompt tokens to be read for it.
+    /// Prompt tokens that the target has to read for the request.
     tokens: Tokens,
-    /// Prompt tokens that were to be read before and with it.
+    /// Prompt tokens that the target had to read up to and including this request's prompt.
     queue: Tokens,
-    /// When its first event was expected.
+    /// The expected time from sending to the first event.
     expected_first: Duration,
     first: Option<Moment>,
 }
 
 impl OwnRun {
-    /// The tokens that are probably not read yet.
+    /// The estimated number of tokens that the target has not read yet.
     fn unread(&self, now: Moment) -> u64 {
         if self.first.is_some() {
             return 0;
@@ -88,7 +89,7 @@
     }
 }
 
-/// What is believed about one target.
+/// The known state of one target.
 #[derive(Debug)]
 pub struct TargetLoad {
     entry: TargetEntry,
@@ -98,14 +99,14 @@
     health: TargetHealth,
     memory: PromptMemory,
     runs: HashMap<RequestSequence, OwnRun>,
-    peers: BTreeMap<VmName, (Moment, TargetMark)>,
-    answer: Duration,
+    reports: BTreeMap<VmName, (Moment, TargetMark)>,
+    answer_time: Duration,
     freed: FreedPlace,
     limit: TargetLimit,
 }
 
 impl TargetLoad {
-    /// Creates the belief about a target of which nothing was observed, known since `now`.
+    /// Creates the state of a target without observations, known since `now`.
     pub fn new(now: Moment, entry: TargetEntry, assumed: &AssumedPace) -> Self {
         Self {
             key: entry.key(),
@@ -115,14 +116,14 @@
             health: TargetHealth::default(),
             memory: PromptMemory::default(),
             runs: HashMap::new(),
-            peers: BTreeMap::new(),
-            answer: ASSUMED_ANSWER,
+            reports: BTreeMap::new(),
+            answer_time: ASSUMED_ANSWER_TIME,
             freed: FreedPlace { at: now, by: PlaceGiver::Nobody },
             limit: TargetLimit::None,
         }
     }
 
-    /// Returns when a place was last given back here, and by whom.
+    /// Returns when a slot of the target was last freed, and by which VM.
     pub fn freed(&self) -> &FreedPlace {
         &self.freed
     }
@@ -137,7 +138,7 @@
         self.key
     }
 
-    /// Replaces the registry's entry; what was learnt is kept.
+    /// Replaces the registry's entry; observations are kept.
     pub fn set_entry(&mut self, entry: TargetEntry) {
         self.entry = entry;
     }
@@ -147,91 +148,92 @@
         &self.health
     }
 
-    /// Returns the target's health, to note an outcome.
+    /// Returns the target's health, to record an outcome.
     pub fn health_mut(&mut self) -> &mut TargetHealth {
         &mut self.health
     }
 
-    /// Returns the prompts that the target is reckoned to hold.
+    /// Returns the prompts that the target probably has in its cache.
     pub fn memory_mut(&mut self) -> &mut PromptMemory {
         &mut self.memory
     }
 
-    /// Returns the target's speed as all VMs have learnt it.
+    /// Returns the target's speed, estimated from the observations of all VMs.
     pub fn estimate(&self) -> &PaceEstimate {
         &self.estimate
     }
 
     /// Returns the mean time of a whole answer.
     pub fn answer_time(&self) -> Duration {
-        self.answer
+        self.answer_time
     }
 
-    /// Returns the requests that all VMs have at the target, as far as heard.
+    /// Returns the number of requests that all VMs have at the target, according to the reports
+    /// received.
     pub fn running(&self, now: Moment) -> u32 {
         let own = u32::try_from(self.runs.len()).unwrap_or(u32::MAX);
-        own + self.marks(now).map(|mark| u32::from(mark.running)).sum::<u32>()
+        own + self.valid_reports(now).map(|mark| u32::from(mark.running)).sum::<u32>()
     }
 
-    /// Returns whether this VM knows something of the target that peers may want: what it has there, how fast the
-    /// target is, or that it is in doubt.
+    /// Whether this VM has something to report to peers about the target: running requests,
+    /// observations of its speed, or that it is suspected.
     pub fn has_news(&self, now: Moment) -> bool {
         let report = self.pace.report(now);
-        let has_learnt = report.prompt.weight.max(report.event.weight) > TOLD_WEIGHT;
-        has_learnt || !self.runs.is_empty() || self.is_doubted_here(now)
+        let has_observations = report.prompt.weight.max(report.event.weight) > MIN_REPORTED_WEIGHT;
+        has_observations || !self.runs.is_empty() || self.is_suspected_here(now)
     }
 
-    /// Returns the places left.
+    /// Returns the number of free slots.
     pub fn free_places(&self, now: Moment) -> u32 {
         self.entry.slots.saturating_sub(self.running(now))
     }
 
-    /// Returns the prompt tokens of all VMs that the target has not read yet.
+    /// Returns the prompt tokens of all VMs' requests that the target has not read yet.
     pub fn unread(&self, now: Moment) -> u64 {
         let own: u64 = self.runs.values().map(|run| run.unread(now)).sum();
-        let read_one = self.estimate.prompt_token.as_secs_f64().max(1e-9);
-        let live = self.peers.values().filter(|(at, _)| now.since(*at) < MARK_LIFE);
-        let of_peers = live.map(|(at, mark)| {
-            let read = now.since(*at).as_secs_f64() / read_one;
+        let time_per_token = self.estimate.prompt_token.as_secs_f64().max(1e-9);
+        let valid = self.reports.values().filter(|(at, _)| now.since(*at) < REPORT_TTL);
+        let of_peers = valid.map(|(at, mark)| {
+            let read = now.since(*at).as_secs_f64() / time_per_token;
             u64::from(mark.unread).saturating_sub(read as u64)
         });
         own + of_peers.sum::<u64>()
     }
 
-    /// Returns the tokens of a prompt that the target would have to read.
+    /// Returns how many tokens of a prompt the target would have to read.
     pub fn tokens_to_read(&self, now: Moment, prompt: Tokens, part: Option<u32>) -> Tokens {
         if part.is_some_and(|part| self.memory.holds(now, part)) { Tokens(0) } else { prompt }
     }
 
-    /// Returns the time from a dispatch now to the first event, when a place is free.
+    /// Returns the expected time from a dispatch at `now` to the first event, if a slot is free.
     pub fn first_event(&self, now: Moment, assumed: &AssumedPace, tokens: Tokens) -> Duration {
         assumed.overhead + self.estimate.reading_time(self.unread(now) + tokens.0)
     }
 
-    /// Returns whether a peer or this VM doubts the target: it could not be reached, or nothing has come from it
-    /// for too long while something should have.
+    /// Whether this VM or a peer suspects the target: it could not be reached, or it has sent
+    /// nothing for too long while an event was due.
     pub fn is_doubtful(&self, now: Moment) -> bool {
-        self.is_doubted_here(now) || self.marks(now).any(|mark| mark.doubtful)
+        self.is_suspected_here(now) || self.valid_reports(now).any(|mark| mark.doubtful)
     }
 
-    /// Returns whether the target may be given new work: not while it is passed over, and one request at a time
-    /// until it is known to be reached again.
+    /// Whether the target may get a new request. It may not while it is paused; while it is
+    /// suspected, it may get one request at a time until it responds.
     pub fn may_get(&self, now: Moment) -> bool {
-        let probed = self.health.is_suspect() && !self.runs.is_empty();
-        !self.entry.leaving && !self.health.is_paused(now) && !probed && self.limit.permits(now)
+        let is_probing = self.health.is_suspect() && !self.runs.is_empty();
+        !self.entry.leaving && !self.health.is_paused(now) && !is_probing && self.limit.permits(now)
     }
 
-    /// Returns how much of what the target takes is this VM's.
+    /// Returns this VM's share of the target's limit.
     pub fn limit(&self) -> TargetLimit {
         self.limit
     }
 
-    /// Returns the same, to change it.
+    /// Returns the limit, to change it.
     pub fn limit_mut(&mut self) -> &mut TargetLimit {
         &mut self.limit
     }
 
-    fn is_doubted_here(&self, now: Moment) -> bool {
+    fn is_suspected_here(&self, now: Moment) -> bool {
         self.is_stalled(now) || self.health.is_suspect()
     }
 
@@ -243,7 +245,7 @@
         })
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub fn begin(
         &mut self,
         now: Moment,
@@ -258,7 +260,7 @@
         self.runs.insert(ticket, run);
     }
 
-    /// Notes the first event of a stream, and learns from it.
+    /// Records the first event of a stream, and updates the speed estimate.
     pub fn note_first(&mut self, now: Moment, assumed: &AssumedPace, ticket: RequestSequence) {
         self.health.note_heard(now);
         let Some(run) = self.runs.get_mut(&ticket).filter(|run| run.first.is_none()) else {
@@ -269,38 +271,38 @@
         self.pace.note_first(now, assumed, queue, waited);
     }
 
-    /// Notes a further event of a stream.
+    /// Records a further event of a stream.
     pub fn note_event(&mut self, now: Moment, pause: Duration) {
         self.health.note_heard(now);
         self.pace.note_event(now, pause);
     }
 
-    /// Notes that a request has ended. A whole answer's time is learnt.
+    /// Records that a request has ended. A whole answer updates the mean answer time.
     pub fn end(&mut self, now: Moment, ticket: RequestSequence, whole: bool) {
         let Some(run) = self.runs.remove(&ticket) else { return };
         self.freed = FreedPlace { at: now, by: PlaceGiver::Own };
         if whole {
             let taken = now.since(run.sent).as_secs_f64();
-            let mean = self.answer.as_secs_f64();
-            self.answer = Duration::from_secs_f64(mean + (taken - mean) * ANSWER_WEIGHT);
+            let mean = self.answer_time.as_secs_f64();
+            self.answer_time = Duration::from_secs_f64(mean + (taken - mean) * ANSWER_TIME_WEIGHT);
         }
     }
 
-    /// Takes what a peer says of the target.
+    /// Stores a peer's report about the target.
     pub fn take_mark(&mut self, now: Moment, peer: &VmName, mut mark: TargetMark) {
-        let told_before = self.peers.get(peer).and_then(|(_, before)| before.pace);
-        mark.pace = mark.pace.or(told_before);
-        let before = self.peers.insert(peer.clone(), (now, mark));
-        self.note_freed(now, peer, before, mark.running);
+        let earlier = self.reports.get(peer).and_then(|(_, before)| before.pace);
+        mark.pace = mark.pace.or(earlier);
+        let before = self.reports.insert(peer.clone(), (now, mark));
+        self.record_freed(now, peer, before, mark.running);
     }
 
-    /// Forgets what a peer said: it is gone, or says nothing of the target any more.
+    /// Removes a peer's report: the peer is gone, or no longer reports this target.
     pub fn forget_mark(&mut self, now: Moment, peer: &VmName) {
-        let before = self.peers.remove(peer);
-        self.note_freed(now, peer, before, 0);
+        let before = self.reports.remove(peer);
+        self.record_freed(now, peer, before, 0);
     }
 
-    fn note_freed(
+    fn record_freed(
         &mut self,
         now: Moment,
         peer: &VmName,
@@ -312,27 +314,27 @@
         }
     }
 
-    /// Puts what all VMs have learnt of the speed together.
+    /// Combines the observations of all VMs into a new estimate of the target's speed.
     pub fn refresh(&mut self, now: Moment, assumed: &AssumedPace) {
         let own = self.pace.report(now);
-        let peers = self.marks(now).filter_map(|mark| mark.pace);
+        let peers = self.valid_reports(now).filter_map(|mark| mark.pace);
         self.estimate = PaceEstimate::of(assumed, peers.chain([own]));
     }
 
-    /// Returns what this VM tells its peers of the target.
+    /// Returns this VM's report about the target for its peers.
     pub fn mark(&self, now: Moment) -> TargetMark {
         let unread: u64 = self.runs.values().map(|run| run.unread(now)).sum();
         TargetMark {
             target: self.key,
             running: u16::try_from(self.runs.len()).unwrap_or(u16::MAX),
             unread: u32::try_from(unread).unwrap_or(u32::MAX),
-            doubtful: self.is_doubted_here(now),
+            doubtful: self.is_suspected_here(now),
             pace: Some(self.pace.report(now)),
         }
     }
 
-    fn marks(&self, now: Moment) -> impl Iterator<Item = &TargetMark> {
-        let live = self.peers.values().filter(move |(at, _)| now.since(*at) < MARK_LIFE);
-        live.map(|(_, mark)| mark)
+    fn valid_reports(&self, now: Moment) -> impl Iterator<Item = &TargetMark> {
+        let valid = self.reports.values().filter(move |(at, _)| now.since(*at) < REPORT_TTL);
+        valid.map(|(_, mark)| mark)
     }
 }
