--- a/crates/ryetide-core/tests/deadline_habit.rs
+++ b/crates/ryetide-core/tests/deadline_habit.rs
@@ -1,4 +1,4 @@
-//! For how long callers have waited, told from the time that they say they have left.
+//! Estimates of how long callers have waited, from the remaining time that they state.
 
 use std::time::Duration;
 
@@ -9,45 +9,49 @@
     Duration::from_millis(value)
 }
 
-/// In a burst two callers of three have come back, each with another time left. They are known by it, also
-/// some time after the time that callers begin with has changed.
+/// In a burst, two of three requests are retries, each with a different remaining time. They must
+/// be recognised by it, also some time after callers begin to start with another deadline.
 #[test]
-fn callers_that_come_back_are_known_by_what_they_have_left() {
-    let mut habit = DeadlineHabit::default();
+fn retries_are_recognised_by_their_remaining_time() {
+    let mut tracker = DeadlineHabit::default();
     let mut rng = SmallRng::seed_from_u64(1);
-    for (begun, from) in [(10_000, 20), (4_000, 500)] {
+    for (start, from) in [(10_000, 20), (4_000, 500)] {
         for round in 0..2_000 {
-            let new = habit.waited(millis(begun));
-            assert!(round < from || new.is_zero(), "{begun} {new:?}");
+            let new = tracker.waited(millis(start));
+            assert!(round < from || new.is_zero(), "{start} {new:?}");
             for _ in 0..2 {
                 let waited = rng.random_range(300..3_000);
-                let told = habit.waited(millis(begun - waited));
-                assert!(round < from || told == millis(waited), "{begun} {waited} {told:?}");
+                let estimated = tracker.waited(millis(start - waited));
+                assert!(
+                    round < from || estimated == millis(waited),
+                    "{start} {waited} {estimated:?}"
+                );
             }
         }
     }
 }
 
-/// Callers choose their own deadlines, all kinds of them. None has come back, and none is put behind others
-/// for asking with less time than the next.
+/// Callers choose deadlines of their own and never retry. None may be ranked behind others because
+/// its deadline is shorter.
 #[test]
-fn nothing_is_concluded_from_deadlines_of_all_kinds() {
-    let mut habit = DeadlineHabit::default();
+fn varied_deadlines_give_no_estimate() {
+    let mut tracker = DeadlineHabit::default();
     let mut rng = SmallRng::seed_from_u64(2);
     for _ in 0..3_000 {
-        assert_eq!(habit.waited(millis(rng.random_range(2_000..30_000))), Duration::ZERO);
+        assert_eq!(tracker.waited(millis(rng.random_range(2_000..30_000))), Duration::ZERO);
     }
 }
 
-/// Two applications call one route, one with 3 s and one with 10 s. The hasty one has not come back.
+/// Two applications call one route, one with a deadline of 3 s and one of 10 s. The shorter
+/// deadline must not be taken for a retry.
 #[test]
-fn a_time_that_many_begin_with_is_no_rest_of_a_longer_one() {
-    let mut habit = DeadlineHabit::default();
-    let mut known = Duration::ZERO;
+fn a_frequent_starting_time_is_not_taken_for_a_retry() {
+    let mut tracker = DeadlineHabit::default();
+    let mut longest = Duration::ZERO;
     for round in 0..500 {
-        let waited = habit.waited(millis(if round % 4 == 0 { 3_000 } else { 10_000 }));
-        known = if round > 60 { known.max(waited) } else { Duration::ZERO };
+        let waited = tracker.waited(millis(if round % 4 == 0 { 3_000 } else { 10_000 }));
+        longest = if round > 60 { longest.max(waited) } else { Duration::ZERO };
     }
-    assert_eq!(known, Duration::ZERO);
-    assert_eq!(habit.waited(millis(2_500)), millis(500));
+    assert_eq!(longest, Duration::ZERO);
+    assert_eq!(tracker.waited(millis(2_500)), millis(500));
 }
--- a/crates/ryetide-core/tests/quota.rs
+++ b/crates/ryetide-core/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas and the budget of repeats over several VMs.
+//! Quotas and retry budgets over several VMs.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_was_refused_or_did_not_run_is_not_used_up() {
+fn refused_and_refunded_requests_use_no_quota() {
     let mut ledger = QuotaLedger::default();
     let now = Moment::from_millis(1);
     ledger.take(now, &RULE, charge(900)).unwrap();
@@ -38,19 +38,19 @@
     assert!(ledger.take(now, &RULE, charge(200)).is_ok());
 }
 
-/// Nine VMs serve one organisation that asks for four times its quota at all of them. Each hears of
-/// the others' use 20 ms late. Over 8 s its callers together may get the rate, one burst, and what
-/// is let through in the 20 ms before the others hear of it.
+/// Nine VMs serve one organisation that asks for four times its quota in total. Each VM learns of
+/// the others' use 20 ms late. Over 8 s, the organisation may get its rate, one burst, and what is
+/// admitted in the 20 ms before the other VMs learn of it.
 #[test]
-fn all_vms_together_keep_the_quota() {
+fn all_vms_together_stay_within_the_quota() {
     let names: Vec<VmName> = (0..9).map(|index| format!("e{index}").as_str().into()).collect();
     let mut ledgers: Vec<QuotaLedger> = names.iter().map(|_| QuotaLedger::default()).collect();
-    let mut passed = 0;
+    let mut admitted = 0;
     for step in 0..400_u64 {
         let now = Moment::from_millis(1 + step * 20);
         for ledger in &mut ledgers {
             // 9 VMs x 9 units in 20 ms are 4,050 units a second.
-            passed += u64::from(ledger.take(now, &RULE, charge(9)).is_ok()) * 9;
+            admitted += u64::from(ledger.take(now, &RULE, charge(9)).is_ok()) * 9;
         }
         let totals: Vec<u64> =
             ledgers.iter().map(|ledger| ledger.totals().map(|(_, spent)| spent).sum()).collect();
@@ -60,39 +60,39 @@
             }
         }
     }
-    assert!(passed <= 9_000 + 9 * 81, "passed {passed}");
-    assert!(passed >= 8_700, "passed {passed}");
+    assert!(admitted <= 9_000 + 9 * 81, "admitted {admitted}");
+    assert!(admitted >= 8_700, "admitted {admitted}");
 }
 
-/// A cut divides nine VMs into four and five, which do not hear each other. Callers come to both
-/// sides. The rates of the two sides must not add up to more than the organisation's.
+/// A network partition divides nine VMs into four and five, and callers reach both sides. The rates
+/// of the two sides must not add up to more than the organisation's rate.
 #[test]
-fn the_sides_of_a_cut_share_the_rate() {
-    let passed_by = |heard: f64| {
+fn both_sides_of_a_partition_share_the_rate() {
+    let admitted_by = |reachable: f64| {
         let mut ledger = QuotaLedger::default();
-        ledger.set_heard_part(heard);
-        let mut passed = 0;
+        ledger.set_heard_part(reachable);
+        let mut admitted = 0;
         for step in 1..=800_u64 {
             let now = Moment::from_millis(1 + step * 10);
-            passed += u64::from(ledger.take(now, &RULE, charge(10)).is_ok()) * 10;
+            admitted += u64::from(ledger.take(now, &RULE, charge(10)).is_ok()) * 10;
         }
-        passed
+        admitted
     };
-    let both = passed_by(4.0 / 9.0) + passed_by(5.0 / 9.0);
-    assert!((8_900..=9_000).contains(&both), "a burst and 8 s of the rate, passed {both}");
+    let both = admitted_by(4.0 / 9.0) + admitted_by(5.0 / 9.0);
+    assert!((8_900..=9_000).contains(&both), "a burst and 8 s of the rate, admitted {both}");
 }
 
-/// All nine VMs are killed at once and come back with nothing. For a second none hears another; the
-/// callers of one organisation press at all of them. Each must take itself for one of nine, not for
-/// the only one: together they may let through one burst and one second's rate.
+/// All nine VMs are killed at once and restart without state. For a second none reaches another,
+/// while the callers of one organisation use all of them. Each VM must count itself as one of nine
+/// rather than as the only one: together they may admit one burst and the rate of one second.
 #[test]
-fn vms_that_start_together_share_the_quota_before_they_hear_each_other() {
+fn vms_that_start_together_share_the_quota_before_they_reach_each_other() {
     let member = |index| CellMember {
         name: format!("e{index}").as_str().into(),
         data_centre: "hall-a".into(),
     };
     let listed: Vec<CellMember> = (0..8).map(member).collect();
-    let mut passed = 0;
+    let mut admitted = 0;
     for _ in 0..9 {
         let mut board = PeerBoard::default();
         let mut ledger = QuotaLedger::default();
@@ -101,28 +101,29 @@
         ledger.set_heard_part(board.heard_part(start));
         for step in 0..100_u64 {
             let now = Moment::from_millis(1 + step * 10);
-            passed += u64::from(ledger.take(now, &RULE, charge(10)).is_ok()) * 10;
+            admitted += u64::from(ledger.take(now, &RULE, charge(10)).is_ok()) * 10;
         }
     }
-    assert!((1_500..=2_100).contains(&passed), "passed {passed}");
+    assert!((1_500..=2_100).contains(&admitted), "admitted {admitted}");
 }
 
-/// All nine VMs are killed at once, start together, and hear each other a tenth of a second later. An organisation
-/// that has used nothing asks for a little less than its rate and its burst in the first second. Its callers must
-/// not be told that it is over quota because each VM began with a ninth.
+/// All nine VMs are killed at once, start together, and reach each other a tenth of a second later.
+/// An organisation that has used nothing asks for a little less than its rate and its burst in the
+/// first second. Its requests must not be refused as over quota because each VM began with a ninth
+/// of the burst.
 #[test]
-fn vms_that_have_heard_each_other_again_give_the_whole_burst() {
+fn vms_that_reach_each_other_again_allow_the_whole_burst() {
     let names: Vec<VmName> = (0..9).map(|index| format!("e{index}").as_str().into()).collect();
     let mut ledgers: Vec<QuotaLedger> = names.iter().map(|_| QuotaLedger::default()).collect();
     ledgers.iter_mut().for_each(|ledger| ledger.set_heard_part(1.0 / 9.0));
-    let mut passed = 0;
+    let mut admitted = 0;
     for step in 0..100_u64 {
         let now = Moment::from_millis(1 + step * 10);
         if step == 10 {
             ledgers.iter_mut().for_each(|ledger| ledger.set_heard_part(1.0));
         }
         for ledger in &mut ledgers {
-            passed += u64::from(ledger.take(now, &RULE, charge(2)).is_ok()) * 2;
+            admitted += u64::from(ledger.take(now, &RULE, charge(2)).is_ok()) * 2;
         }
         let totals: Vec<u64> =
             ledgers.iter().map(|ledger| ledger.totals().map(|(_, spent)| spent).sum()).collect();
@@ -132,15 +133,16 @@
             }
         }
     }
-    assert!(passed >= 1_750, "passed {passed} of 1,800");
+    assert!(admitted >= 1_750, "admitted {admitted} of 1,800");
 }
 
-/// Hundreds of VMs start together, and an organisation asks for three times its rate, so that each VM gets a request
-/// of its every three seconds. Each hears of the others' use within 0.3 s. If a VM that has not been asked yet takes
-/// the bucket for full, and the first use of a peer counts at nobody, every VM lets a request through whatever the
-/// others did: together 1.5 times what the organisation may use in eight seconds.
+/// Hundreds of VMs start together, and an organisation asks for three times its rate, so that each
+/// VM gets one of its requests every three seconds. Each VM learns of the others' use within 0.3 s.
+/// If a VM took a bucket without requests for full, and a peer's first use counted nowhere, every
+/// VM would admit a request regardless of the others: together 1.5 times the quota of eight
+/// seconds.
 #[test]
-fn hundreds_of_vms_that_start_together_keep_the_quota() {
+fn hundreds_of_vms_that_start_together_stay_within_the_quota() {
     let rule = QuotaRule { rate: 100_000.0, burst: 100_000.0, ..RULE };
     let names: Vec<VmName> = (0..195).map(|index| format!("e{index}").as_str().into()).collect();
     let mut ledgers: Vec<QuotaLedger> = names.iter().map(|_| QuotaLedger::default()).collect();
@@ -148,12 +150,12 @@
         let peers = names.iter().enumerate().filter(|(peer, _)| *peer != own);
         peers.for_each(|(_, name)| ledger.note_whole(name));
     }
-    let (mut passed, mut asked) = (0_u64, 0_usize);
+    let (mut admitted, mut asked) = (0_u64, 0_usize);
     for step in 0..800_u64 {
         let now = Moment::from_millis(1 + step * 10);
         while (asked as u64) * 5_000 < (step + 1) * 3_000 {
             let ledger = &mut ledgers[asked * 7 % 195];
-            passed += u64::from(ledger.take(now, &rule, charge(5_000)).is_ok()) * 5_000;
+            admitted += u64::from(ledger.take(now, &rule, charge(5_000)).is_ok()) * 5_000;
             asked += 1;
         }
         if step % 30 != 0 {
@@ -168,17 +170,17 @@
             }
         }
     }
-    // The rate of eight seconds, a burst, and what comes before the others hear of it.
-    assert!(passed <= 900_000 + 90_000, "passed {passed}");
-    assert!(passed >= 850_000, "passed {passed}");
+    // The rate of eight seconds, a burst, and what is admitted before the other VMs learn of it.
+    assert!(admitted <= 900_000 + 90_000, "admitted {admitted}");
+    assert!(admitted >= 850_000, "admitted {admitted}");
 }
 
-/// A cut of six seconds divides nine VMs into four and five, and an organisation uses a third of its rate on
-/// each side. When the cut ends each VM hears at once of all that the other side has let through. That came from
-/// the other side's part of the rate: the organisation is well within its quota, and none of its callers may be
-/// told otherwise.
+/// A network partition of six seconds divides nine VMs into four and five, and an organisation uses
+/// a third of its rate on each side. At its end, each VM receives all the use of the other side at
+/// once. That use came from the other side's share of the rate, so the organisation is well within
+/// its quota, and none of its requests may be refused.
 #[test]
-fn the_end_of_a_cut_puts_nobody_in_debt() {
+fn the_end_of_a_partition_puts_no_organisation_in_debt() {
     let mut ledger = QuotaLedger::default();
     let peer = VmName::from("e9");
     let at = Moment::from_millis;
@@ -186,7 +188,7 @@
     ledger.note_peer(at(1), &peer, KEY, 5_000, Duration::ZERO);
     ledger.set_heard_part(4.0 / 9.0);
     for step in 1..=600_u64 {
-        // A third of 1,000 units a second.
+        // A third of 1,000 units per second.
         assert!(ledger.take(at(1 + step * 10), &RULE, charge(3)).is_ok(), "step {step}");
     }
     ledger.set_heard_part(1.0);
@@ -196,24 +198,24 @@
     }
 }
 
-/// Every target of a service fails every request for ten seconds, and all of them may be repeated.
-/// What arrives beyond the first of each request must stay within the part and the slack.
+/// Every target of a service fails every request for ten seconds, and all requests may be retried.
+/// The number of retries must stay within the permitted share and slack.
 #[test]
-fn repeats_stay_within_their_budget_while_everything_fails() {
+fn retries_stay_within_their_budget_while_every_request_fails() {
     let rule = RetryRule { part: 0.2, window: Duration::from_secs(10), slack: 56.0 };
     let service = ServiceName::from("desk");
     let mut budgets: Vec<RetryBudget> = (0..8).map(|_| RetryBudget::new(rule)).collect();
-    let (mut requests, mut repeats) = (0_u32, 0_u32);
+    let (mut requests, mut retries) = (0_u32, 0_u32);
     for step in 0..1_000_u64 {
         let now = Moment::from_millis(1 + step * 10);
         for budget in &mut budgets {
             budget.set_vm_count(8);
             budget.note_request(now, &service);
             requests += 1;
-            repeats += u32::from(budget.take(now, &service));
+            retries += u32::from(budget.take(now, &service));
         }
     }
     let bound = f64::from(requests) * 0.2 + 56.0;
-    assert!(f64::from(repeats) < bound, "{repeats} repeats of {requests}");
-    assert!(f64::from(repeats) > f64::from(requests) * 0.1, "{repeats} repeats of {requests}");
+    assert!(f64::from(retries) < bound, "{retries} retries of {requests}");
+    assert!(f64::from(retries) > f64::from(requests) * 0.1, "{retries} retries of {requests}");
 }
--- a/crates/ryetide-core/tests/quota_desk.rs
+++ b/crates/ryetide-core/tests/quota_desk.rs
@@ -1,4 +1,4 @@
-//! Who gets an organisation's units when it asks for more than its quota.
+//! Allocation of an organisation's units when it asks for more than its quota.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -13,7 +13,7 @@
 const KEY: OrganisationKey = OrganisationKey(7);
 const RULE: QuotaRule =
     QuotaRule { unit: QuotaUnit::Tokens, rate: 100_000.0, burst: 100_000.0, default_tokens: 200 };
-/// How often each VM looks at its line.
+/// The interval at which each VM examines its waiting requests.
 const STEP_MILLIS: u64 = 5;
 
 fn at(millis: u64) -> Moment {
@@ -32,106 +32,109 @@
 }
 
 #[test]
-fn units_that_come_back_in_time_are_waited_for() {
-    let mut desk = QuotaDesk::default();
-    assert_eq!(desk.ask(at(0), ask(1, at(0), 0, 100_000, 0)), QuotaAnswer::Taken);
-    assert_eq!(desk.ask(at(0), ask(2, at(0), 0, 4_000, 400)), QuotaAnswer::Waits);
-    assert_eq!(desk.advance(at(30)), []);
-    let verdicts = desk.advance(at(40));
+fn a_request_waits_for_units_that_are_refilled_in_time() {
+    let mut allocator = QuotaDesk::default();
+    assert_eq!(allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0)), QuotaAnswer::Taken);
+    assert_eq!(allocator.ask(at(0), ask(2, at(0), 0, 4_000, 400)), QuotaAnswer::Waits);
+    assert_eq!(allocator.advance(at(30)), []);
+    let verdicts = allocator.advance(at(40));
     assert_eq!((verdicts[0].ticket, verdicts[0].outcome), (RequestSequence(2), Ok(())));
 }
 
-/// Units that cannot be there in time are not waited for: the caller hears at once when they will be.
+/// A request whose units cannot be available in time must be refused at once, with the delay until
+/// they are.
 #[test]
-fn units_that_come_too_late_are_refused_at_once() {
-    let mut desk = QuotaDesk::default();
-    assert_eq!(desk.ask(at(0), ask(1, at(0), 0, 100_000, 0)), QuotaAnswer::Taken);
+fn a_request_is_refused_at_once_if_its_units_are_refilled_too_late() {
+    let mut allocator = QuotaDesk::default();
+    assert_eq!(allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0)), QuotaAnswer::Taken);
     let wait = Duration::from_millis(500);
-    assert_eq!(desk.ask(at(0), ask(2, at(0), 0, 50_000, 400)), QuotaAnswer::Over(wait));
+    assert_eq!(allocator.ask(at(0), ask(2, at(0), 0, 50_000, 400)), QuotaAnswer::Over(wait));
 }
 
-/// The bucket is empty. A routine request waits for its units, and an urgent one that comes later gets them.
+/// The bucket is empty. A routine request waits for its units, and an urgent one that arrives later
+/// must get its units first.
 #[test]
-fn the_urgent_get_the_next_units_though_they_came_later() {
-    let mut desk = QuotaDesk::default();
-    desk.ask(at(0), ask(1, at(0), 0, 100_000, 0));
-    assert_eq!(desk.ask(at(0), ask(2, at(0), 2, 1_000, 800)), QuotaAnswer::Waits);
-    assert_eq!(desk.ask(at(5), ask(3, at(5), 0, 4_000, 300)), QuotaAnswer::Waits);
+fn urgent_requests_get_the_next_units_though_they_arrived_later() {
+    let mut allocator = QuotaDesk::default();
+    allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0));
+    assert_eq!(allocator.ask(at(0), ask(2, at(0), 2, 1_000, 800)), QuotaAnswer::Waits);
+    assert_eq!(allocator.ask(at(5), ask(3, at(5), 0, 4_000, 300)), QuotaAnswer::Waits);
     let order: Vec<u64> = (1..160)
-        .flat_map(|step| desk.advance(at(step * STEP_MILLIS)))
+        .flat_map(|step| allocator.advance(at(step * STEP_MILLIS)))
         .filter(|verdict| verdict.outcome.is_ok())
         .map(|verdict| verdict.ticket.0)
         .collect();
     assert_eq!(order, [3, 2]);
 }
 
-/// Nobody urgent has asked for a while, or ever. The routine requests may use the last unit.
+/// No urgent request has arrived for a while. Routine requests may use the bucket to the last unit.
 #[test]
-fn no_room_is_left_for_those_who_do_not_come() {
-    let mut desk = QuotaDesk::default();
-    assert_eq!(desk.ask(at(0), ask(1, at(0), 0, 4_000, 0)), QuotaAnswer::Taken);
+fn no_headroom_is_kept_for_unused_classes() {
+    let mut allocator = QuotaDesk::default();
+    assert_eq!(allocator.ask(at(0), ask(1, at(0), 0, 4_000, 0)), QuotaAnswer::Taken);
     let later = 20_000;
     for ticket in 2..102 {
         let routine = ask(ticket, at(later), 2, 1_000, 0);
-        assert_eq!(desk.ask(at(later), routine), QuotaAnswer::Taken, "request {ticket}");
+        assert_eq!(allocator.ask(at(later), routine), QuotaAnswer::Taken, "request {ticket}");
     }
 }
 
-/// An organisation's urgent requests cost 4,000 units each. An order that costs 200 is not sent away to spare
-/// room for them.
+/// An organisation's urgent requests cost 4,000 units each. A request that costs 200 must not be
+/// refused to keep headroom for them.
 #[test]
-fn what_costs_little_passes() {
-    let mut desk = QuotaDesk::default();
-    desk.ask(at(0), ask(1, at(0), 0, 4_000, 0));
-    desk.ask(at(0), ask(2, at(0), 0, 84_000, 0));
-    // 12,000 are left.
-    let told = desk.ask(at(0), ask(3, at(0), 2, 1_000, 0));
-    assert!(matches!(told, QuotaAnswer::Over(_)), "{told:?}");
-    assert_eq!(desk.ask(at(0), ask(4, at(0), 2, 200, 0)), QuotaAnswer::Taken);
+fn a_cheap_request_is_admitted_despite_headroom() {
+    let mut allocator = QuotaDesk::default();
+    allocator.ask(at(0), ask(1, at(0), 0, 4_000, 0));
+    allocator.ask(at(0), ask(2, at(0), 0, 84_000, 0));
+    // 12,000 units are left.
+    let reply = allocator.ask(at(0), ask(3, at(0), 2, 1_000, 0));
+    assert!(matches!(reply, QuotaAnswer::Over(_)), "{reply:?}");
+    assert_eq!(allocator.ask(at(0), ask(4, at(0), 2, 200, 0)), QuotaAnswer::Taken);
 }
 
 #[test]
-fn a_caller_who_leaves_takes_nothing() {
-    let mut desk = QuotaDesk::default();
-    desk.ask(at(0), ask(1, at(0), 0, 100_000, 0));
-    assert_eq!(desk.ask(at(0), ask(2, at(0), 0, 4_000, 400)), QuotaAnswer::Waits);
-    desk.leave(RequestSequence(2));
-    assert_eq!(desk.advance(at(200)), []);
-    assert!(!desk.is_waited_at());
+fn a_caller_that_disconnects_uses_no_units() {
+    let mut allocator = QuotaDesk::default();
+    allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0));
+    assert_eq!(allocator.ask(at(0), ask(2, at(0), 0, 4_000, 400)), QuotaAnswer::Waits);
+    allocator.leave(RequestSequence(2));
+    assert_eq!(allocator.advance(at(200)), []);
+    assert!(!allocator.is_waited_at());
 }
 
-/// What callers of one tier were told.
+/// The results for the requests of one tier.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct TierResults {
     asked: u32,
     served: u32,
 }
 
-impl Told {
-    fn part(self) -> f64 {
+impl TierResults {
+    fn served_share(self) -> f64 {
         f64::from(self.served) / f64::from(self.asked.max(1))
     }
 }
 
 /// The load of an organisation that asks for more than its rate at several VMs.
-struct Load {
+struct LoadSimulation {
     vms: usize,
-    /// Units a second asked for by tier, and the mean cost of a request.
+    /// For each tier, the units asked for per second and the mean cost of a request.
     tiers: [(f64, f64); 3],
     seconds: u64,
-    /// Whether all take units in order of arrival, as without a desk.
-    plain: bool,
+    /// Whether all requests have one class and none waits, so that units go out in order of
+    /// arrival.
+    in_arrival_order: bool,
 }
 
-impl Load {
-    /// Plays the load; each VM hears of the others' use 20 ms late. Returns what callers got by tier, and the
-    /// units that were let through.
-    fn play(&self, seed: u64) -> ([Told; 3], u64) {
+impl LoadSimulation {
+    /// Simulates the load; each VM learns of the others' use 20 ms late. Returns the results by
+    /// tier and the number of admitted units.
+    fn run(&self, seed: u64) -> ([TierResults; 3], u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let names: Vec<VmName> =
             (0..self.vms).map(|index| format!("e{index}").as_str().into()).collect();
-        let mut desks: Vec<QuotaDesk> = names.iter().map(|_| QuotaDesk::default()).collect();
-        let mut told = [Told::default(); 3];
+        let mut allocators: Vec<QuotaDesk> = names.iter().map(|_| QuotaDesk::default()).collect();
+        let mut results = [TierResults::default(); 3];
         let mut asked: HashMap<u64, (usize, u64)> = HashMap::new();
         let (mut units, mut ticket) = (0, 0);
         for step in 0..self.seconds * 1_000 / STEP_MILLIS {
@@ -141,105 +144,110 @@
                 let count = expected as u32 + u32::from(rng.random_bool(expected.fract()));
                 for _ in 0..count {
                     ticket += 1;
-                    // From a fifth of the mean to four times as much, mostly below it.
+                    // From a fifth of the mean to four times as much, mostly below the mean.
                     let cost = (mean * (0.2 + 3.8 * rng.random::<f64>().powi(4))) as u64;
-                    let wait = if self.plain { 0 } else { 300 };
-                    let class = if self.plain { 0 } else { tier as u8 };
-                    told[tier].asked += 1;
+                    let wait = if self.in_arrival_order { 0 } else { 300 };
+                    let class = if self.in_arrival_order { 0 } else { tier as u8 };
+                    results[tier].asked += 1;
                     asked.insert(ticket, (tier, cost));
                     let vm = rng.random_range(0..self.vms);
-                    if desks[vm].ask(now, ask(ticket, now, class, cost, wait)) == QuotaAnswer::Taken
+                    if allocators[vm].ask(now, ask(ticket, now, class, cost, wait))
+                        == QuotaAnswer::Taken
                     {
-                        told[tier].served += 1;
+                        results[tier].served += 1;
                         units += cost;
                     }
                 }
             }
-            for desk in &mut desks {
-                for verdict in desk.advance(now) {
+            for allocator in &mut allocators {
+                for verdict in allocator.advance(now) {
                     if verdict.outcome.is_ok() {
                         let (tier, cost) = asked[&verdict.ticket.0];
-                        told[tier].served += 1;
+                        results[tier].served += 1;
                         units += cost;
                     }
                 }
             }
             if step % 4 == 0 {
-                hear_each_other(now, &names, &mut desks);
+                exchange_totals(now, &names, &mut allocators);
             }
         }
-        (told, units)
+        (results, units)
     }
 }
 
-fn hear_each_other(now: Moment, names: &[VmName], desks: &mut [QuotaDesk]) {
-    let totals: Vec<u64> =
-        desks.iter().map(|desk| desk.ledger().totals().map(|(_, spent)| spent).sum()).collect();
-    for (own, desk) in desks.iter_mut().enumerate() {
+fn exchange_totals(now: Moment, names: &[VmName], allocators: &mut [QuotaDesk]) {
+    let totals: Vec<u64> = allocators
+        .iter()
+        .map(|allocator| allocator.ledger().totals().map(|(_, spent)| spent).sum())
+        .collect();
+    for (own, allocator) in allocators.iter_mut().enumerate() {
         for (peer, name) in names.iter().enumerate().filter(|(peer, _)| *peer != own) {
-            desk.ledger_mut().note_peer(now, name, KEY, totals[peer], Duration::ZERO);
+            allocator.ledger_mut().note_peer(now, name, KEY, totals[peer], Duration::ZERO);
         }
     }
 }
 
-/// An organisation asks for half more than its rate for twenty seconds at eight VMs: reviews and drafts within
-/// the rate, and notes beyond it. Taken in order of arrival, a fifth of the reviews and drafts is sent away. The urgent must get
-/// nearly all that they ask for, the notes what is left, and no units may lie unused; nor may more be let through
-/// than the rate, a burst, and what is let through before the others hear of it.
+/// An organisation asks for half more than its rate for twenty seconds at eight VMs: reviews and
+/// drafts within the rate, and notes beyond it. In order of arrival, a fifth of the reviews and
+/// drafts is refused. The urgent tiers must get nearly all that they ask for and the notes what is
+/// left, without unused units. No more may be admitted than the rate, a burst, and what is admitted
+/// before the other VMs learn of it.
 #[test]
 fn the_urgent_tiers_of_an_organisation_are_served_first() {
     let tiers = [(50_000.0, 4_000.0), (30_000.0, 3_000.0), (70_000.0, 1_300.0)];
     for seed in 1..=3 {
-        let load = Load { vms: 8, tiers, seconds: 20, plain: false };
-        let (told, units) = load.play(seed);
-        let (before, units_before) = Load { plain: true, ..load }.play(seed);
-        assert!(before[0].part() < 0.85, "in order of arrival {before:?}");
-        assert!(told[0].part() > 0.97, "{told:?}");
-        assert!(told[1].part() > 0.9, "{told:?}");
-        assert!(told[2].part() > 0.2, "{told:?}");
+        let load = LoadSimulation { vms: 8, tiers, seconds: 20, in_arrival_order: false };
+        let (results, units) = load.run(seed);
+        let (before, units_before) = LoadSimulation { in_arrival_order: true, ..load }.run(seed);
+        assert!(before[0].served_share() < 0.85, "in order of arrival {before:?}");
+        assert!(results[0].served_share() > 0.97, "{results:?}");
+        assert!(results[1].served_share() > 0.9, "{results:?}");
+        assert!(results[2].served_share() > 0.2, "{results:?}");
         assert!(units as f64 > 0.97 * units_before as f64, "{units} of {units_before}");
         assert!(units < 2_100_000 + 8 * 16_000, "{units}");
     }
 }
 
-/// The urgent alone ask for more than the rate. They are served in order, and their largest requests no less often
-/// than half as often as the others; what costs little still passes.
+/// Urgent requests alone ask for more than the rate. More than half of them must be admitted,
+/// whatever their size, and some of the cheap requests as well.
 #[test]
-fn an_organisation_with_urgent_work_only_starves_no_size() {
+fn urgent_requests_over_the_rate_starve_no_request_size() {
     let tiers = [(160_000.0, 4_000.0), (1_000.0, 200.0), (1_000.0, 200.0)];
-    let (told, units) = Load { vms: 8, tiers, seconds: 20, plain: false }.play(4);
-    assert!(told[0].part() > 0.5, "{told:?}");
-    assert!(told[1].part() > 0.2, "{told:?}");
+    let (results, units) =
+        LoadSimulation { vms: 8, tiers, seconds: 20, in_arrival_order: false }.run(4);
+    assert!(results[0].served_share() > 0.5, "{results:?}");
+    assert!(results[1].served_share() > 0.2, "{results:?}");
     assert!(units as f64 > 1_950_000.0, "{units}");
 }
 
-/// Whatever an organisation asks for, in whatever order of tiers and of sizes below its burst, one VM lets through no more than its
-/// rate and one burst, and everybody who waits gets a verdict by the end of the wait.
+/// For any sequence of tiers and of sizes below the burst, a single VM must admit no more than the
+/// rate and one burst, and every waiting request must get a result by the end of its wait.
 #[test]
 fn no_order_of_requests_gets_more_than_the_quota() {
     bolero::check!().with_type::<Vec<(u8, u16, u8)>>().for_each(|script| {
-        let mut desk = QuotaDesk::default();
+        let mut allocator = QuotaDesk::default();
         let (mut now, mut units, mut waiting) = (0_u64, 0_u64, HashMap::new());
         for (index, (tier, cost, pause)) in script.iter().enumerate() {
             now += u64::from(*pause);
-            for verdict in desk.advance(at(now)) {
-                let cost: u64 = waiting.remove(&verdict.ticket.0).expect("somebody who waits");
+            for verdict in allocator.advance(at(now)) {
+                let cost: u64 = waiting.remove(&verdict.ticket.0).expect("the request waits");
                 units += if verdict.outcome.is_ok() { cost } else { 0 };
             }
             let (ticket, cost) = (index as u64, u64::from(*cost));
-            match desk.ask(at(now), ask(ticket, at(now), tier % 3, cost, 200)) {
+            match allocator.ask(at(now), ask(ticket, at(now), tier % 3, cost, 200)) {
                 QuotaAnswer::Taken => units += cost,
                 QuotaAnswer::Waits => {
                     waiting.insert(ticket, cost);
                 }
                 QuotaAnswer::Over(_) => {}
             }
-            let most = 100_000.0 * (1.0 + now as f64 / 1e3) + 1.0;
-            assert!(units as f64 <= most, "{units} of {most}");
+            let limit = 100_000.0 * (1.0 + now as f64 / 1e3) + 1.0;
+            assert!(units as f64 <= limit, "{units} of {limit}");
         }
-        for verdict in desk.advance(at(now + 200)) {
+        for verdict in allocator.advance(at(now + 200)) {
             assert!(waiting.remove(&verdict.ticket.0).is_some());
         }
-        assert!(waiting.is_empty() && !desk.is_waited_at());
+        assert!(waiting.is_empty() && !allocator.is_waited_at());
     });
 }
--- a/crates/ryetide-core/tests/scheduler.rs
+++ b/crates/ryetide-core/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! One VM's scheduler: placing, waiting, yielding, refusing.
+//! Decisions of a single VM's scheduler: placement, queueing and refusal.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 const SERVICE: &str = "drafting";
 
-struct Bench {
+struct Harness {
     scheduler: Scheduler,
     next: u64,
 }
@@ -61,7 +61,7 @@
     Moment::from_millis(1_000 + millis)
 }
 
-impl Bench {
+impl Harness {
     fn new(targets: &[(&str, u32)]) -> Self {
         Self::named("e1", targets)
     }
@@ -77,19 +77,19 @@
             assumed: AssumedPace::default(),
         });
         let entries = targets.iter().map(|(name, slots)| target(name, *slots)).collect();
-        // Nothing is new any more when a test begins.
+        // The targets were added well before a test begins, so no turns apply at their slots.
         scheduler.set_targets(Moment::from_millis(1), entries);
         Self { scheduler, next: 0 }
     }
 
-    /// Takes a request in, and returns its number.
+    /// Adds a request and returns its number.
     fn enter(&mut self, now: Moment, tier: u8, prompt: u64) -> u64 {
         self.next += 1;
         self.scheduler.enter(now, work(self.next, now, tier, prompt));
         self.next
     }
 
-    /// The placements made since the last look, as request and target.
+    /// Takes the placements made since the last call, as pairs of request and target.
     fn placed(&mut self) -> Vec<(u64, String)> {
         let decisions = self.scheduler.take_decisions().into_iter();
         decisions
@@ -114,11 +114,11 @@
         self.scheduler.end(now, RequestSequence(ticket), RunEnd::Whole);
     }
 
-    fn hear(&mut self, now: Moment, sequence: u64, digest: LoadDigest) {
-        self.hear_from("e2", now, sequence, digest);
+    fn receive(&mut self, now: Moment, sequence: u64, digest: LoadDigest) {
+        self.receive_from("e2", now, sequence, digest);
     }
 
-    fn hear_from(&mut self, peer: &str, now: Moment, sequence: u64, digest: LoadDigest) {
+    fn receive_from(&mut self, peer: &str, now: Moment, sequence: u64, digest: LoadDigest) {
         let digest = LoadDigest { incarnation: Incarnation(2), sequence, ..digest };
         self.scheduler.take_digest(now, DigestEnvelope { from: peer.into(), digest });
     }
@@ -128,7 +128,8 @@
     vec![TargetKey::of(&name.into())]
 }
 
-/// What a peer knows of a target: microseconds for a prompt token, and between events.
+/// A peer's report about a target, with the speed in microseconds per prompt token and between
+/// events.
 fn mark(name: &str, running: u16, prompt: f32, event: f32) -> TargetMark {
     let figure = |mean| FadingMean { mean, weight: 6.0 };
     TargetMark {
@@ -147,336 +148,343 @@
 }
 
 #[test]
-fn a_request_is_placed_at_once_while_there_is_a_place() {
-    let mut bench = Bench::new(&[("t1", 2)]);
-    assert_eq!(bench.enter(at(0), 2, 100), 1);
-    assert_eq!(bench.placed(), [(1, "t1".to_owned())]);
+fn a_request_is_placed_at_once_while_a_slot_is_free() {
+    let mut harness = Harness::new(&[("t1", 2)]);
+    assert_eq!(harness.enter(at(0), 2, 100), 1);
+    assert_eq!(harness.placed(), [(1, "t1".to_owned())]);
 }
 
-/// All VMs have just started and know nothing of the targets' speed. Sixty requests come at once for
-/// one target of four slots. Nobody may be refused because of a speed that was only assumed.
+/// All VMs have just started and have observed no speeds. Twenty requests arrive at once for one
+/// target of four slots. None may be refused because of a speed that is only assumed.
 #[test]
-fn nobody_is_refused_on_an_assumed_speed() {
-    let mut bench = Bench::new(&[("t1", 4)]);
+fn no_request_is_refused_because_of_an_assumed_speed() {
+    let mut harness = Harness::new(&[("t1", 4)]);
     for _ in 0..20 {
-        bench.enter(at(0), 0, 1_000);
+        harness.enter(at(0), 0, 1_000);
     }
-    assert_eq!(bench.refused(), []);
+    assert_eq!(harness.refused(), []);
 }
 
 #[test]
-fn the_urgent_tier_takes_the_next_place_though_it_came_later() {
-    let mut bench = Bench::new(&[("t1", 1)]);
-    bench.enter(at(0), 2, 100);
-    let routine = bench.enter(at(10), 2, 100);
-    let urgent = bench.enter(at(20), 0, 100);
-    bench.placed();
-    bench.end(at(100), 1);
-    assert_eq!(bench.placed(), [(urgent, "t1".to_owned())]);
-    bench.end(at(200), urgent);
-    assert_eq!(bench.placed(), [(routine, "t1".to_owned())]);
+fn the_urgent_tier_takes_the_next_slot_though_it_arrived_later() {
+    let mut harness = Harness::new(&[("t1", 1)]);
+    harness.enter(at(0), 2, 100);
+    let routine = harness.enter(at(10), 2, 100);
+    let urgent = harness.enter(at(20), 0, 100);
+    harness.placed();
+    harness.end(at(100), 1);
+    assert_eq!(harness.placed(), [(urgent, "t1".to_owned())]);
+    harness.end(at(200), urgent);
+    assert_eq!(harness.placed(), [(routine, "t1".to_owned())]);
 }
 
-/// An organisation's rank makes all its requests one tier. Of these the more urgent route goes first though
-/// its objective is the farther one: by the nearest objective, long urgent requests would always come
-/// last in a burst, until they miss theirs.
+/// An organisation's rank puts all its requests into one tier. Within it, the more urgent route
+/// goes first although its objective is later. Ordered by the nearest objective alone, long urgent
+/// requests would come last in a burst until they miss theirs.
 #[test]
 fn the_more_urgent_route_goes_first_within_a_tier() {
-    let mut bench = Bench::new(&[("t1", 1)]);
-    bench.enter(at(0), 0, 100);
+    let mut harness = Harness::new(&[("t1", 1)]);
+    harness.enter(at(0), 0, 100);
     let routine =
         WaitingWork { route_tier: TierRank(2), objective_at: at(500), ..work(11, at(10), 0, 100) };
-    bench.scheduler.enter(at(10), routine);
-    bench.scheduler.enter(at(20), work(12, at(20), 0, 100));
-    bench.placed();
-    bench.end(at(100), 1);
-    assert_eq!(bench.placed(), [(12, "t1".to_owned())]);
+    harness.scheduler.enter(at(10), routine);
+    harness.scheduler.enter(at(20), work(12, at(20), 0, 100));
+    harness.placed();
+    harness.end(at(100), 1);
+    assert_eq!(harness.placed(), [(12, "t1".to_owned())]);
 }
 
-/// A place is free at an engine that will begin the request just within its objective, with less to spare
-/// than is liked. Another engine would be faster and has no place. To wait for one would use up what is
-/// left: the place that is free is taken.
+/// A slot is free at an engine that is expected to start the request just within its objective, but
+/// beyond the safety margin. A faster engine has no free slot. Waiting for it would use up the
+/// remaining time, so the free slot must be taken.
 #[test]
-fn a_place_that_is_tight_is_taken_and_not_waited_out() {
-    let mut bench = Bench::new(&[("slow", 2), ("fast", 1)]);
+fn a_free_slot_with_little_margin_is_taken_instead_of_waiting() {
+    let mut harness = Harness::new(&[("slow", 2), ("fast", 1)]);
     let marks = vec![mark("slow", 0, 60.0, 20_000.0), mark("fast", 1, 12.5, 16_000.0)];
-    bench.hear(at(0), 1, LoadDigest { targets: marks, ..LoadDigest::default() });
-    let tight = bench.enter(at(1), 0, 13_500);
-    assert_eq!(bench.placed(), [(tight, "slow".to_owned())]);
+    harness.receive(at(0), 1, LoadDigest { targets: marks, ..LoadDigest::default() });
+    let tight = harness.enter(at(1), 0, 13_500);
+    assert_eq!(harness.placed(), [(tight, "slow".to_owned())]);
 }
 
-/// A stream broke and has to go on elsewhere, later than is on time. It waits behind all that can
-/// still meet their objective, is never refused for them, since its caller has a part of it already,
-/// and goes on when they are served.
+/// A stream broke and must continue at another target, but is late already. It waits behind all
+/// requests that can still meet their objective, is never refused because of them, since its caller
+/// has received a part of the answer, and continues once they are served.
 #[test]
-fn a_late_stream_that_has_begun_goes_behind_what_is_on_time() {
-    let mut bench = Bench::new(&[("t1", 1)]);
-    bench.enter(at(0), 0, 100);
+fn a_late_resumed_stream_waits_behind_requests_that_are_on_time() {
+    let mut harness = Harness::new(&[("t1", 1)]);
+    harness.enter(at(0), 0, 100);
     let late = 99;
     let begun = WaitingWork { begun: true, ..work(late, at(0), 0, 100) };
-    assert!(bench.scheduler.enter_again(at(0), begun, true));
-    let fresh = bench.enter(at(1_500), 2, 100);
-    bench.placed();
-    bench.end(at(1_600), 1);
-    assert_eq!(bench.placed(), [(fresh, "t1".to_owned())]);
-    bench.end(at(1_700), fresh);
-    assert_eq!(bench.placed(), [(late, "t1".to_owned())]);
+    assert!(harness.scheduler.enter_again(at(0), begun, true));
+    let fresh = harness.enter(at(1_500), 2, 100);
+    harness.placed();
+    harness.end(at(1_600), 1);
+    assert_eq!(harness.placed(), [(fresh, "t1".to_owned())]);
+    harness.end(at(1_700), fresh);
+    assert_eq!(harness.placed(), [(late, "t1".to_owned())]);
 }
 
-/// A caller leaves at 4 s. Just before, it is told that its request has not run, so that it may come
-/// back; a request still in line after it has gone would be worked on for nobody.
+/// A caller stops waiting at 4 s. Just before, it must receive a refusal that says that its request
+/// has not run, so that it can retry. A request that stays queued longer would be processed without
+/// a caller.
 #[test]
-fn a_request_still_in_line_is_refused_before_its_caller_leaves() {
-    let mut bench = Bench::new(&[("t1", 1)]);
-    bench.enter(at(0), 0, 100);
-    let waiting = bench.enter(at(0), 0, 100);
-    bench.scheduler.advance(at(3_800));
-    assert_eq!(bench.refused(), []);
-    bench.scheduler.advance(at(3_860));
-    assert_eq!(bench.refused(), [(waiting, RefusalReason::OutOfTime)]);
+fn a_queued_request_is_refused_before_its_caller_stops_waiting() {
+    let mut harness = Harness::new(&[("t1", 1)]);
+    harness.enter(at(0), 0, 100);
+    let waiting = harness.enter(at(0), 0, 100);
+    harness.scheduler.advance(at(3_800));
+    assert_eq!(harness.refused(), []);
+    harness.scheduler.advance(at(3_860));
+    assert_eq!(harness.refused(), [(waiting, RefusalReason::OutOfTime)]);
 }
 
-/// The last place is free here, and a more urgent request has waited at a peer for 200 ms. A request
-/// here that has waited too, but is less urgent, must leave the place to it; only when the peer has
-/// not taken it after a while, because it cannot use it, does it go.
+/// The only slot becomes free at this VM while a more urgent request waits at a peer. A less urgent
+/// request at this VM must leave the slot to the peer, and may take it only if the peer has not
+/// done so within its turn.
 #[test]
-fn a_free_place_is_left_to_the_more_urgent_at_a_peer() {
-    let mut bench = Bench::new(&[("t1", 1)]);
-    bench.enter(at(0), 2, 100);
-    let routine = bench.enter(at(0), 2, 100);
-    bench.placed();
+fn a_free_slot_is_left_to_a_more_urgent_request_at_a_peer() {
+    let mut harness = Harness::new(&[("t1", 1)]);
+    harness.enter(at(0), 2, 100);
+    let routine = harness.enter(at(0), 2, 100);
+    harness.placed();
     let digest = LoadDigest { waiting: vec![waiting(0, 1)], ..LoadDigest::default() };
-    bench.hear(at(100), 1, digest);
-    bench.end(at(110), 1);
-    assert_eq!(bench.placed(), [], "the place is the peer's");
-    bench.scheduler.advance(at(115));
-    assert_eq!(bench.placed(), []);
-    bench.scheduler.advance(at(130));
-    assert_eq!(bench.placed(), [(routine, "t1".to_owned())], "the peer has not taken it");
+    harness.receive(at(100), 1, digest);
+    harness.end(at(110), 1);
+    assert_eq!(harness.placed(), [], "the slot is left to the peer");
+    harness.scheduler.advance(at(115));
+    assert_eq!(harness.placed(), []);
+    harness.scheduler.advance(at(130));
+    assert_eq!(harness.placed(), [(routine, "t1".to_owned())], "the peer has not taken it");
 }
 
-/// All places are taken and two VMs have lines. A target is added, and both learn of it at once. One takes
-/// its places; if both did, half of what they send would find no slot.
+/// All slots are taken, and requests wait at two VMs. Both learn of a new target at the same time.
+/// Only one of them may take its slots at once; otherwise half of the requests sent there would
+/// find no slot.
 #[test]
-fn a_new_target_is_not_taken_by_all_vms_at_once() {
-    let first_takes = |own: &str, other: &str| {
-        let mut bench = Bench::named(own, &[("t1", 1)]);
-        bench.enter(at(0), 0, 100);
-        bench.enter(at(0), 0, 100);
-        bench.placed();
+fn a_new_targets_slots_are_not_taken_by_all_vms_at_once() {
+    let takes_at_once = |own: &str, other: &str| {
+        let mut harness = Harness::named(own, &[("t1", 1)]);
+        harness.enter(at(0), 0, 100);
+        harness.enter(at(0), 0, 100);
+        harness.placed();
         let digest = LoadDigest { waiting: vec![waiting(0, 1)], ..LoadDigest::default() };
-        bench.hear_from(other, at(100), 1, digest);
+        harness.receive_from(other, at(100), 1, digest);
         let targets = vec![target("t1", 1), target("t2", 1)];
-        bench.scheduler.set_targets(at(110), targets);
-        !bench.placed().is_empty()
+        harness.scheduler.set_targets(at(110), targets);
+        !harness.placed().is_empty()
     };
-    let (first, second) = (first_takes("e1", "e2"), first_takes("e2", "e1"));
+    let (first, second) = (takes_at_once("e1", "e2"), takes_at_once("e2", "e1"));
     assert!(first != second, "e1 {first}, e2 {second}");
 }
 
-/// One engine reads 18 tokens a millisecond, the other 80. Short requests run at both. A prompt of
-/// 12,000 tokens would hold up every stream at the slow one for over 600 ms. It goes to the fast one,
-/// and waits for it when it is full, even when it is late already: one caller's late answer is worth
-/// less than eight others' pauses.
+/// One engine reads 18 tokens per millisecond, another 80, and both run short requests. A prompt of
+/// 12,000 tokens would delay every stream at the slow engine by over 600 ms. It must go to the fast
+/// one, and wait for it when that is full even if the request is late already: one late answer
+/// costs less than pauses in eight other streams.
 #[test]
-fn a_long_prompt_never_stalls_the_streams_of_a_slow_engine() {
-    let mut bench = Bench::new(&[("slow", 9), ("fast", 1)]);
+fn a_long_prompt_never_delays_the_streams_of_a_slow_engine() {
+    let mut harness = Harness::new(&[("slow", 9), ("fast", 1)]);
     let marks = vec![mark("slow", 2, 55.0, 70_000.0), mark("fast", 0, 12.5, 16_000.0)];
     let digest = LoadDigest { targets: marks, ..LoadDigest::default() };
-    bench.hear(at(0), 1, digest.clone());
-    let first = bench.enter(at(1), 0, 12_000);
-    assert_eq!(bench.placed(), [(first, "fast".to_owned())]);
-    let second = bench.enter(at(2), 0, 12_000);
-    assert_eq!(bench.placed(), []);
-    bench.hear(at(1_000), 2, digest.clone());
-    bench.scheduler.advance(at(1_100));
-    bench.hear(at(2_400), 3, digest);
-    bench.scheduler.advance(at(2_500));
-    assert_eq!(bench.placed(), [], "late, and still not at the slow engine");
-    bench.end(at(2_600), first);
-    assert_eq!(bench.placed(), [(second, "fast".to_owned())]);
+    harness.receive(at(0), 1, digest.clone());
+    let first = harness.enter(at(1), 0, 12_000);
+    assert_eq!(harness.placed(), [(first, "fast".to_owned())]);
+    let second = harness.enter(at(2), 0, 12_000);
+    assert_eq!(harness.placed(), []);
+    harness.receive(at(1_000), 2, digest.clone());
+    harness.scheduler.advance(at(1_100));
+    harness.receive(at(2_400), 3, digest);
+    harness.scheduler.advance(at(2_500));
+    assert_eq!(harness.placed(), [], "a late request still avoids the slow engine");
+    harness.end(at(2_600), first);
+    assert_eq!(harness.placed(), [(second, "fast".to_owned())]);
 }
 
-/// A target crashes and refuses connections. Its requests go elsewhere at once, and it is tried again
-/// a little later, not with every request.
+/// A target crashes and refuses connections. Its requests must go elsewhere at once, and the target
+/// is tried again after a pause, not with every request.
 #[test]
-fn an_unreachable_target_is_passed_over_for_a_while() {
-    let mut bench = Bench::new(&[("t1", 1)]);
-    bench.enter(at(0), 0, 100);
-    bench.placed();
-    bench.scheduler.end(at(1), RequestSequence(1), RunEnd::Unreachable);
-    let again = bench.enter(at(2), 0, 100);
-    assert_eq!(bench.placed(), []);
-    bench.scheduler.advance(at(150));
-    assert_eq!(bench.placed(), []);
-    bench.scheduler.advance(at(210));
-    assert_eq!(bench.placed(), [(again, "t1".to_owned())]);
+fn an_unreachable_target_gets_no_requests_during_its_pause() {
+    let mut harness = Harness::new(&[("t1", 1)]);
+    harness.enter(at(0), 0, 100);
+    harness.placed();
+    harness.scheduler.end(at(1), RequestSequence(1), RunEnd::Unreachable);
+    let again = harness.enter(at(2), 0, 100);
+    assert_eq!(harness.placed(), []);
+    harness.scheduler.advance(at(150));
+    assert_eq!(harness.placed(), []);
+    harness.scheduler.advance(at(210));
+    assert_eq!(harness.placed(), [(again, "t1".to_owned())]);
 }
 
-/// A peer is killed with nine requests at an engine; the engine drops them when their connections
-/// close. The places must not stay taken in the books of the others.
+/// A peer is killed while it has nine requests at an engine, which drops them when their
+/// connections close. The other VMs must stop counting their slots as taken.
 #[test]
-fn the_places_of_a_silent_peer_come_free() {
-    let mut bench = Bench::new(&[("t1", 9)]);
+fn the_slots_of_a_silent_peer_become_free() {
+    let mut harness = Harness::new(&[("t1", 9)]);
     let marks = vec![mark("t1", 9, 20.0, 20_000.0)];
-    bench.hear(at(0), 1, LoadDigest { targets: marks, ..LoadDigest::default() });
-    let waiting = bench.enter(at(10), 0, 100);
-    assert_eq!(bench.placed(), []);
-    bench.scheduler.advance(at(1_400));
-    assert_eq!(bench.placed(), []);
-    bench.scheduler.advance(at(1_510));
-    assert_eq!(bench.placed(), [(waiting, "t1".to_owned())]);
+    harness.receive(at(0), 1, LoadDigest { targets: marks, ..LoadDigest::default() });
+    let waiting = harness.enter(at(10), 0, 100);
+    assert_eq!(harness.placed(), []);
+    harness.scheduler.advance(at(1_400));
+    assert_eq!(harness.placed(), []);
+    harness.scheduler.advance(at(1_510));
+    assert_eq!(harness.placed(), [(waiting, "t1".to_owned())]);
 }
 
-/// What a peer believes to run at a target.
-fn believed(bench: &Bench, name: &str, now: Moment) -> u32 {
-    let load = bench.scheduler.targets().find(|load| load.entry().name.as_str() == name);
-    load.expect("a target").running(now)
+/// The number of requests that run at a target according to this VM's reports from peers.
+fn reported_running(harness: &Harness, name: &str, now: Moment) -> u32 {
+    let load = harness.scheduler.targets().find(|load| load.entry().name.as_str() == name);
+    load.expect("the target exists").running(now)
 }
 
-/// A VM tells everything now and then, and in between only what has changed. Digests are lost: each change
-/// is told several times, and what was lost every time is told with the next whole digest. A peer that took
-/// places for free which are not would send requests that find no slot.
+/// A VM sends a whole digest at intervals, and only changes in between. Digests may be lost, so
+/// each change is repeated several times, and the next whole digest repairs any loss. Otherwise a
+/// peer could take slots as free that are not, and send requests that find no slot.
 #[test]
-fn changes_are_told_alone_and_make_good_for_lost_digests() {
+fn digests_of_changes_make_up_for_lost_ones() {
     let targets = [("t1", 2), ("t2", 2), ("t3", 2)];
-    let (mut teller, mut peer) = (Bench::new(&targets), Bench::new(&targets));
-    let tell = |teller: &mut Bench, now| teller.scheduler.digest(now, FleetNews::default(), false);
+    let (mut sender, mut peer) = (Harness::new(&targets), Harness::new(&targets));
+    let send =
+        |sender: &mut Harness, now| sender.scheduler.digest(now, FleetNews::default(), false);
     for _ in 0..6 {
-        teller.enter(at(0), 0, 100);
+        sender.enter(at(0), 0, 100);
     }
-    let whole = tell(&mut teller, at(1));
+    let whole = send(&mut sender, at(1));
     assert_eq!((whole.scope, whole.targets.len()), (DigestScope::Whole, 3));
-    peer.hear(at(1), 1, whole);
-    let first = teller.placed()[0].clone();
-    teller.end(at(100), first.0);
-    let lost = tell(&mut teller, at(101));
+    peer.receive(at(1), 1, whole);
+    let first = sender.placed()[0].clone();
+    sender.end(at(100), first.0);
+    let lost = send(&mut sender, at(101));
     assert_eq!((lost.scope, lost.targets.len()), (DigestScope::Changes, 1));
-    let again = tell(&mut teller, at(107));
-    peer.hear(at(108), 3, again);
-    assert_eq!(believed(&peer, &first.1, at(108)), 1);
-    let other = targets.iter().find(|(name, _)| *name != first.1).expect("another");
-    assert_eq!(believed(&peer, other.0, at(108)), 2, "what is not named goes on");
-    let later = tell(&mut teller, at(200));
+    let again = send(&mut sender, at(107));
+    peer.receive(at(108), 3, again);
+    assert_eq!(reported_running(&peer, &first.1, at(108)), 1);
+    let other = targets.iter().find(|(name, _)| *name != first.1).expect("another target exists");
+    assert_eq!(reported_running(&peer, other.0, at(108)), 2, "an omitted target keeps its count");
+    let later = send(&mut sender, at(200));
     assert_eq!((later.scope, later.targets.len()), (DigestScope::Changes, 0));
-    let whole = tell(&mut teller, at(410));
+    let whole = send(&mut sender, at(410));
     assert_eq!((whole.scope, whole.targets.len()), (DigestScope::Whole, 3));
 }
 
 #[test]
 fn a_service_without_targets_refuses_at_once() {
-    let mut bench = Bench::new(&[]);
-    let refused = bench.enter(at(0), 0, 100);
-    assert_eq!(bench.refused(), [(refused, RefusalReason::NoTarget)]);
+    let mut harness = Harness::new(&[]);
+    let refused = harness.enter(at(0), 0, 100);
+    assert_eq!(harness.refused(), [(refused, RefusalReason::NoTarget)]);
 }
 
 #[test]
 fn a_leaving_target_gets_no_new_work() {
-    let mut bench = Bench::new(&[("t1", 9), ("t2", 1)]);
+    let mut harness = Harness::new(&[("t1", 9), ("t2", 1)]);
     let leaving = TargetEntry { leaving: true, ..target("t1", 9) };
-    bench.scheduler.set_targets(at(0), vec![leaving, target("t2", 1)]);
-    bench.enter(at(1), 0, 100);
-    bench.enter(at(2), 0, 100);
-    assert_eq!(bench.placed(), [(1, "t2".to_owned())]);
+    harness.scheduler.set_targets(at(0), vec![leaving, target("t2", 1)]);
+    harness.enter(at(1), 0, 100);
+    harness.enter(at(2), 0, 100);
+    assert_eq!(harness.placed(), [(1, "t2".to_owned())]);
 }
 
-/// Requests hold a place for half a second each, and a target has two. Six wait in line; a seventh
-/// would have its turn after 1.5 s, and its objective is at 1 s. It is told so at once, with a time to
-/// come back, instead of after the whole patience of its caller.
+/// Requests occupy a slot for half a second each, and a target has two slots. Behind six waiting
+/// requests, a seventh would get a slot after 1.5 s, while its objective ends at 1 s. It must be
+/// refused with a retry delay at once, not just before its caller stops waiting.
 #[test]
-fn a_request_that_the_line_would_make_late_is_refused_at_once() {
-    let mut bench = Bench::new(&[("t1", 2)]);
+fn a_request_that_the_queue_would_make_late_is_refused_at_once() {
+    let mut harness = Harness::new(&[("t1", 2)]);
     for _ in 0..2 {
-        let ticket = bench.enter(at(0), 0, 100);
-        bench.end(at(500), ticket);
+        let ticket = harness.enter(at(0), 0, 100);
+        harness.end(at(500), ticket);
     }
-    let tickets: Vec<u64> = (0..6).map(|_| bench.enter(at(600), 0, 100)).collect();
-    assert_eq!(bench.refused(), [], "two have places, and four can have theirs in time");
-    bench.enter(at(600), 0, 100);
-    let last = bench.enter(at(600), 0, 100);
-    let refused = bench.refused();
+    let tickets: Vec<u64> = (0..6).map(|_| harness.enter(at(600), 0, 100)).collect();
+    assert_eq!(harness.refused(), [], "two have slots, and four can get theirs in time");
+    harness.enter(at(600), 0, 100);
+    let last = harness.enter(at(600), 0, 100);
+    let refused = harness.refused();
     assert!(refused.contains(&(last, RefusalReason::Overload)), "{refused:?}");
     assert!(refused.iter().all(|(ticket, _)| !tickets.contains(ticket)), "{refused:?}");
 }
 
-/// A request has waited until it can no longer meet its objective, and another that can stands in line
-/// too. The first is told to come back now; it would stay behind all that come.
+/// A request has waited until it can no longer meet its objective, and another that still can is
+/// queued. The first must be refused now, since it would stay behind every request that arrives.
 #[test]
 fn a_request_that_has_just_missed_its_objective_is_refused_while_others_wait() {
-    let mut bench = Bench::new(&[("t1", 1)]);
-    bench.enter(at(0), 0, 100);
-    let missing = bench.enter(at(0), 0, 100);
-    bench.enter(at(900), 0, 100);
-    bench.scheduler.advance(at(960));
-    assert_eq!(bench.refused(), []);
-    bench.scheduler.advance(at(990));
-    assert_eq!(bench.refused(), [(missing, RefusalReason::Overload)]);
+    let mut harness = Harness::new(&[("t1", 1)]);
+    harness.enter(at(0), 0, 100);
+    let missing = harness.enter(at(0), 0, 100);
+    harness.enter(at(900), 0, 100);
+    harness.scheduler.advance(at(960));
+    assert_eq!(harness.refused(), []);
+    harness.scheduler.advance(at(990));
+    assert_eq!(harness.refused(), [(missing, RefusalReason::Overload)]);
 }
 
-/// Nobody else waits: then a request that has missed its objective is served as soon as there is a
-/// place, late but before its caller leaves.
+/// A request that has missed its objective while no other waits must still be served once a slot is
+/// free, late but before its caller stops waiting.
 #[test]
-fn a_request_that_is_late_alone_is_still_served() {
-    let mut bench = Bench::new(&[("t1", 1)]);
-    bench.enter(at(0), 0, 100);
-    let late = bench.enter(at(0), 0, 100);
-    bench.placed();
+fn a_late_request_is_still_served_when_no_other_waits() {
+    let mut harness = Harness::new(&[("t1", 1)]);
+    harness.enter(at(0), 0, 100);
+    let late = harness.enter(at(0), 0, 100);
+    harness.placed();
     for millis in (980..1_100).step_by(10) {
-        bench.scheduler.advance(at(millis));
+        harness.scheduler.advance(at(millis));
     }
-    bench.end(at(1_500), 1);
-    assert_eq!(bench.placed(), [(late, "t1".to_owned())]);
+    harness.end(at(1_500), 1);
+    assert_eq!(harness.placed(), [(late, "t1".to_owned())]);
 }
 
-/// A target fails to open connections, and a peer says that all its places are taken. It starts again under its
-/// old name, and the peer's next digest still speaks of the earlier life. Requests must go to the new one at
-/// once: nothing of what was known before holds for it.
+/// A target refuses connections, and a peer reports that all its slots are taken. The target
+/// restarts under the same name, and the peer's next digest still describes the old incarnation.
+/// Requests must go to the new incarnation at once, since no earlier state applies to it.
 #[test]
-fn a_new_life_of_a_target_starts_with_nothing_known() {
-    let mut bench = Bench::new(&[("t1", 2)]);
-    bench.enter(at(0), 0, 100);
-    bench.placed();
-    bench.scheduler.end(at(10), RequestSequence(1), RunEnd::Unreachable);
+fn a_new_incarnation_of_a_target_starts_without_state() {
+    let mut harness = Harness::new(&[("t1", 2)]);
+    harness.enter(at(0), 0, 100);
+    harness.placed();
+    harness.scheduler.end(at(10), RequestSequence(1), RunEnd::Unreachable);
     let busy = LoadDigest { targets: vec![mark("t1", 2, 20.0, 30_000.0)], ..Default::default() };
-    bench.hear(at(11), 1, busy.clone());
-    let waiting = bench.enter(at(12), 0, 100);
-    assert_eq!(bench.placed(), [], "paused, and full");
+    harness.receive(at(11), 1, busy.clone());
+    let waiting = harness.enter(at(12), 0, 100);
+    assert_eq!(harness.placed(), [], "the target is paused and full");
     let restarted = TargetEntry { life: TargetLife(9), ..target("t1", 2) };
-    bench.scheduler.set_targets(at(20), vec![restarted]);
-    bench.hear(at(21), 2, busy);
-    bench.scheduler.advance(at(25));
-    assert_eq!(bench.placed(), [(waiting, "t1".to_owned())]);
+    harness.scheduler.set_targets(at(20), vec![restarted]);
+    harness.receive(at(21), 2, busy);
+    harness.scheduler.advance(at(25));
+    assert_eq!(harness.placed(), [(waiting, "t1".to_owned())]);
 }
 
-/// A target lies dark: its places are all free, and every request sent there costs its caller 300 ms. One VM has
-/// found out and tells the others, who must use the targets that work, also a busier one.
+/// A target is unreachable: its slots are all free, and every request sent there costs its caller
+/// 300 ms. One VM has found out and reports it. The others must use the targets that work, even a
+/// busier one.
 #[test]
-fn what_one_vm_cannot_reach_the_others_pass_over() {
+fn a_target_that_one_vm_cannot_reach_is_avoided_by_others() {
     let targets = [("t1", 9), ("t2", 2)];
-    let mut finder = Bench::named("e2", &targets);
-    finder.scheduler.enter(at(0), WaitingWork { excluded: key_of("t2"), ..work(1, at(0), 0, 100) });
-    finder.scheduler.end(at(0), RequestSequence(1), RunEnd::Unreachable);
-    let told = finder.scheduler.digest(at(0), FleetNews::default(), false);
-    let mut bench = Bench::new(&targets);
-    bench.hear(at(0), 1, told);
-    bench.enter(at(1), 0, 100);
-    bench.enter(at(1), 0, 100);
-    assert_eq!(bench.placed(), [(1, "t2".to_owned()), (2, "t2".to_owned())]);
+    let mut detecting = Harness::named("e2", &targets);
+    detecting
+        .scheduler
+        .enter(at(0), WaitingWork { excluded: key_of("t2"), ..work(1, at(0), 0, 100) });
+    detecting.scheduler.end(at(0), RequestSequence(1), RunEnd::Unreachable);
+    let digest = detecting.scheduler.digest(at(0), FleetNews::default(), false);
+    let mut harness = Harness::new(&targets);
+    harness.receive(at(0), 1, digest);
+    harness.enter(at(1), 0, 100);
+    harness.enter(at(1), 0, 100);
+    assert_eq!(harness.placed(), [(1, "t2".to_owned()), (2, "t2".to_owned())]);
 }
 
-/// A target could not be reached. When its pause is over it gets one request, not all that wait: each would wait
-/// 300 ms for a connection. Once anything has come from it, it is used as before.
+/// After the pause of an unreachable target, it must get a single request as a probe rather than
+/// all waiting ones, each of which would wait 300 ms for a connection. Once the target has sent
+/// anything, it is used as before.
 #[test]
-fn a_target_that_was_not_reached_gets_one_request_to_find_out() {
-    let mut bench = Bench::new(&[("t1", 9)]);
-    bench.enter(at(0), 0, 100);
-    bench.placed();
-    bench.scheduler.end(at(10), RequestSequence(1), RunEnd::Unreachable);
-    let probe = bench.enter(at(20), 0, 100);
-    let behind = bench.enter(at(20), 0, 100);
-    bench.scheduler.advance(at(250));
-    assert_eq!(bench.placed(), [(probe, "t1".to_owned())]);
-    bench.scheduler.note_event(at(300), RequestSequence(probe));
-    bench.scheduler.advance(at(301));
-    assert_eq!(bench.placed(), [(behind, "t1".to_owned())]);
+fn an_unreachable_target_gets_one_request_as_a_probe() {
+    let mut harness = Harness::new(&[("t1", 9)]);
+    harness.enter(at(0), 0, 100);
+    harness.placed();
+    harness.scheduler.end(at(10), RequestSequence(1), RunEnd::Unreachable);
+    let probe = harness.enter(at(20), 0, 100);
+    let behind = harness.enter(at(20), 0, 100);
+    harness.scheduler.advance(at(250));
+    assert_eq!(harness.placed(), [(probe, "t1".to_owned())]);
+    harness.scheduler.note_event(at(300), RequestSequence(probe));
+    harness.scheduler.advance(at(301));
+    assert_eq!(harness.placed(), [(behind, "t1".to_owned())]);
 }
--- a/crates/ryetide-core/tests/scheduler_load/load_play.rs
+++ b/crates/ryetide-core/tests/scheduler_load/load_simulation.rs
@@ -1,9 +1,10 @@
-//! A model of unlike engines, of the VMs before them, and of their callers.
+//! A simulation of engines of different speeds, the VMs in front of them, and their callers.
 //!
-//! One VM, or several that share them, before three engines for each, two of them four times as fast as
-//! the third. An engine takes as many requests at once as it has slots, in order of arrival, reads prompts
-//! one after the other, and then makes events at its pace. Digests travel as the daemon sends them. Callers
-//! that are told to come back do so once, where a test says so. Time is virtual; arrivals are drawn from a seed.
+//! Each VM contributes three engines, two of which are four times as fast as the third; all VMs
+//! share all engines. An engine runs as many requests as it has slots, in order of arrival, reads
+//! prompts one after the other, and then emits events at its speed. Digests are sent at the
+//! daemon's intervals. Where a test asks for it, refused callers retry once after the stated delay.
+//! Time is virtual, and arrivals are drawn from a seed.
 
 use std::{
     collections::{BTreeMap, BinaryHeap, VecDeque},
@@ -28,11 +29,11 @@
 };
 
 const SLOTS: usize = 9;
-/// How long a digest travels, in microseconds.
+/// The network delay of a digest, in microseconds.
 const DIGEST_TRAVEL: u64 = 500;
-/// How long callers wait for an answer from when they ask first.
+/// How long callers wait for an answer, counted from their first attempt.
 const DEADLINE: Duration = Duration::from_secs(12);
-/// Microseconds for a prompt token and between events, by engine.
+/// Microseconds per prompt token and between events, by engine.
 const ENGINES: [(&str, u64, u64); 3] =
     [("fast-1", 13, 16_000), ("fast-2", 13, 16_000), ("slow", 55, 70_000)];
 
@@ -44,7 +45,7 @@
     events: u64,
     pub objective: Duration,
     patience: Duration,
-    /// Requests a second in calm.
+    /// Requests per second at usual load.
     rate: f64,
 }
 
@@ -76,100 +77,100 @@
 ];
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Happening {
+enum SimEvent {
     Arrival(usize),
-    /// A caller that was refused asks again.
-    Return(u64),
+    /// A refused caller retries.
+    Retry(u64),
     Event(u64),
     End(u64),
-    /// A VM tells the others what it has under way.
-    Tell(usize),
-    /// What this VM told last arrives at the others.
-    Hear(usize),
+    /// A VM sends a digest to its peers.
+    Send(usize),
+    /// The digest that this VM sent last arrives at its peers.
+    Receive(usize),
 }
 
-/// What became of the requests of one kind.
+/// The results for the requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub asked: u32,
     pub on_time: u32,
     pub served: u32,
     pub refused: u32,
-    /// The longest time that one was held before it was refused.
-    pub held: Duration,
+    /// The longest time from a request's arrival to its refusal.
+    pub until_refusal: Duration,
     /// The sum of these times.
-    held_sum: Duration,
+    until_refusal_sum: Duration,
 }
 
 impl Tally {
-    /// Returns for how long a request was held before it was refused, in the mean.
-    pub fn mean_held(&self) -> Duration {
-        self.held_sum / self.refused.max(1)
+    /// Returns the mean time from a request's arrival to its refusal.
+    pub fn mean_until_refusal(&self) -> Duration {
+        self.until_refusal_sum / self.refused.max(1)
     }
 }
 
 #[derive(Default)]
 struct EngineState {
-    /// Microseconds for a prompt token and between events.
+    /// Microseconds per prompt token and between events.
     per_token: u64,
     per_event: u64,
-    /// When the prompts taken so far will have been read.
-    reader_free: u64,
+    /// When the engine will have read all prompts that it has accepted.
+    reader_free_at: u64,
     running: usize,
-    /// Requests that have no slot yet.
+    /// Requests without a slot.
     queue: VecDeque<u64>,
 }
 
-struct PlayedVm {
+struct SimVm {
     scheduler: Scheduler,
-    told_at: u64,
-    /// What it told last, on its way to the others.
-    told: Option<LoadDigest>,
-    tells: bool,
-    habits: [DeadlineHabit; 3],
+    sent_at: u64,
+    /// The digest that this VM sent last, while it is in transit.
+    in_transit: Option<LoadDigest>,
+    is_sending: bool,
+    trackers: [DeadlineHabit; 3],
 }
 
-/// One request: its kind, its VM, when it arrived, when its caller asked first, and where it was placed.
-struct PlayedRequest {
+/// One request: its kind, its VM, when it arrived, when its caller first tried, and its engine.
+struct SimRequest {
     kind: usize,
     vm: usize,
     arrived: u64,
-    asked: u64,
+    first_attempt: u64,
     engine: Option<String>,
 }
 
-pub struct LoadPlay {
-    vms: Vec<PlayedVm>,
-    /// Groups of three engines; what comes is in proportion to them.
+pub struct LoadSimulation {
+    vms: Vec<SimVm>,
+    /// Groups of three engines; the arrival rate is proportional to their number.
     groups: usize,
     rng: SmallRng,
     engines: BTreeMap<String, EngineState>,
-    agenda: BinaryHeap<std::cmp::Reverse<(u64, Happening)>>,
-    requests: BTreeMap<u64, PlayedRequest>,
+    events: BinaryHeap<std::cmp::Reverse<(u64, SimEvent)>>,
+    requests: BTreeMap<u64, SimRequest>,
     first: BTreeMap<u64, u64>,
     pub tallies: [Tally; 3],
-    /// Whether callers that are told to come back do.
-    pub callers_return: bool,
-    /// Requests that were placed, and those of them that found no slot at their engine.
+    /// Whether refused callers retry.
+    pub callers_retry: bool,
+    /// The number of placed requests, and of those among them that found no slot at their engine.
     pub placed: u32,
-    pub stood_in_line: u32,
+    pub without_slot: u32,
 }
 
 fn vm_name(index: usize) -> VmName {
     format!("e{index}").as_str().into()
 }
 
-impl LoadPlay {
+impl LoadSimulation {
     pub fn new(seed: u64) -> Self {
         Self::with_vms(1, seed)
     }
 
-    /// Sets up `count` VMs that share three engines for each of them.
+    /// Creates `count` VMs that share three engines for each of them.
     pub fn with_vms(count: usize, seed: u64) -> Self {
         Self::with_groups(count, count, seed)
     }
 
-    /// Sets up `count` VMs of one data centre that share `groups` of three engines.
+    /// Creates `count` VMs of one data centre that share `groups` of three engines.
     pub fn with_groups(count: usize, groups: usize, seed: u64) -> Self {
         let names = (0..groups).flat_map(|group| {
             ENGINES.map(|(name, per_token, per_event)| {
@@ -212,103 +213,103 @@
             scheduler.list_peers(Moment(1), &others.collect::<Vec<_>>());
             let peers: Vec<DigestPeer> = (0..count).filter(|it| *it != index).map(peer).collect();
             scheduler.mate_recipients(Moment(1), &peers);
-            let habits = Default::default();
-            PlayedVm { scheduler, told_at: 0, told: None, tells: false, habits }
+            let trackers = Default::default();
+            SimVm { scheduler, sent_at: 0, in_transit: None, is_sending: false, trackers }
         };
         Self {
             vms: (0..count).map(start).collect(),
             groups,
             rng: SmallRng::seed_from_u64(seed),
             engines,
-            agenda: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             requests: BTreeMap::new(),
             first: BTreeMap::new(),
             tallies: [Tally::default(); 3],
-            callers_return: false,
+            callers_retry: false,
             placed: 0,
-            stood_in_line: 0,
+            without_slot: 0,
         }
     }
 
-    fn plan(&mut self, at: u64, happening: Happening) {
-        self.agenda.push(std::cmp::Reverse((at, happening)));
+    fn schedule(&mut self, at: u64, event: SimEvent) {
+        self.events.push(std::cmp::Reverse((at, event)));
     }
 
-    /// Plays `seconds` of arrivals, `factor` times as many of them from 5 s to 9 s, and the time until
-    /// all have ended.
-    pub fn play(mut self, seconds: u64, factor: f64) -> Self {
+    /// Runs `seconds` of arrivals, with `factor` times the usual rate from 5 s to 9 s, until all
+    /// requests have ended.
+    pub fn run(mut self, seconds: u64, factor: f64) -> Self {
         for (index, kind) in KINDS.iter().enumerate() {
             let mut at = 0.0;
             while at < seconds as f64 {
                 let burst = if (5.0..9.0).contains(&at) { factor } else { 1.0 };
                 let draw: f64 = self.rng.random_range(1e-9..1.0);
                 at += -draw.ln() / (kind.rate * burst * self.groups as f64);
-                self.plan(1_000 + (at * 1e6) as u64, Happening::Arrival(index));
+                self.schedule(1_000 + (at * 1e6) as u64, SimEvent::Arrival(index));
             }
         }
         let mut now = 0;
-        while let Some(std::cmp::Reverse((at, happening))) = self.agenda.pop() {
-            // The line is looked at every 10 ms while somebody waits.
+        while let Some(std::cmp::Reverse((at, event))) = self.events.pop() {
+            // Queues are examined every 10 ms while requests wait.
             while now + 10_000 < at {
                 now += 10_000;
                 for vm in 0..self.vms.len() {
                     self.vms[vm].scheduler.advance(Moment(now));
-                    self.follow(now, vm);
+                    self.apply_decisions(now, vm);
                 }
             }
             now = at;
-            self.take(now, happening);
+            self.handle(now, event);
             for vm in 0..self.vms.len() {
-                self.follow(now, vm);
+                self.apply_decisions(now, vm);
             }
         }
         self
     }
 
-    fn take(&mut self, now: u64, happening: Happening) {
-        match happening {
-            Happening::Arrival(index) => {
+    fn handle(&mut self, now: u64, event: SimEvent) {
+        match event {
+            SimEvent::Arrival(index) => {
                 self.tallies[index].asked += 1;
                 self.arrive(now, index, now);
             }
-            Happening::Return(ticket) => {
-                let PlayedRequest { kind, asked, .. } = self.requests[&ticket];
-                self.arrive(now, kind, asked);
+            SimEvent::Retry(ticket) => {
+                let SimRequest { kind, first_attempt, .. } = self.requests[&ticket];
+                self.arrive(now, kind, first_attempt);
             }
-            Happening::Event(ticket) => {
+            SimEvent::Event(ticket) => {
                 self.first.entry(ticket).or_insert(now);
                 let vm = self.requests[&ticket].vm;
                 self.vms[vm].scheduler.note_event(Moment(now), RequestSequence(ticket));
             }
-            Happening::End(ticket) => self.end(now, ticket),
-            Happening::Tell(vm) => {
-                let teller = &mut self.vms[vm];
-                (teller.tells, teller.told_at) = (false, now);
-                teller.told =
-                    Some(teller.scheduler.digest(Moment(now), FleetNews::default(), false));
-                self.plan(now + DIGEST_TRAVEL, Happening::Hear(vm));
+            SimEvent::End(ticket) => self.end(now, ticket),
+            SimEvent::Send(vm) => {
+                let sender = &mut self.vms[vm];
+                (sender.is_sending, sender.sent_at) = (false, now);
+                sender.in_transit =
+                    Some(sender.scheduler.digest(Moment(now), FleetNews::default(), false));
+                self.schedule(now + DIGEST_TRAVEL, SimEvent::Receive(vm));
             }
-            Happening::Hear(vm) => {
-                let Some(digest) = self.vms[vm].told.take() else { return };
+            SimEvent::Receive(vm) => {
+                let Some(digest) = self.vms[vm].in_transit.take() else { return };
                 let envelope = DigestEnvelope { from: vm_name(vm), digest };
-                let is_told = |other: &usize| {
+                let is_recipient = |other: &usize| {
                     self.vms[vm].scheduler.is_mate(&vm_name(*other)) && *other != vm
                 };
-                let told: Vec<usize> = (0..self.vms.len()).filter(is_told).collect();
-                for other in told {
+                let recipients: Vec<usize> = (0..self.vms.len()).filter(is_recipient).collect();
+                for other in recipients {
                     self.vms[other].scheduler.take_digest(Moment(now), envelope.clone());
                 }
             }
         }
     }
 
-    fn arrive(&mut self, now: u64, kind: usize, asked: u64) {
+    fn arrive(&mut self, now: u64, kind: usize, first_attempt: u64) {
         let ticket = self.requests.len() as u64 + 1;
         let vm = self.rng.random_range(0..self.vms.len());
-        let request = PlayedRequest { kind, vm, arrived: now, asked, engine: None };
+        let request = SimRequest { kind, vm, arrived: now, first_attempt, engine: None };
         self.requests.insert(ticket, request);
-        let left = DEADLINE.saturating_sub(Duration::from_micros(now - asked));
-        let waited = self.vms[vm].habits[kind].waited(left);
+        let left = DEADLINE.saturating_sub(Duration::from_micros(now - first_attempt));
+        let waited = self.vms[vm].trackers[kind].waited(left);
         let new = work(ticket, &KINDS[kind], Moment(now));
         let objective_at = new.objective_at.before(waited);
         let came_back = !waited.is_zero();
@@ -321,18 +322,18 @@
         let objective = KINDS[request.kind].objective.as_micros() as u64;
         let tally = &mut self.tallies[request.kind];
         tally.served += 1;
-        tally.on_time += u32::from(self.first[&ticket] - request.asked <= objective);
-        let name = request.engine.clone().expect("it was placed");
+        tally.on_time += u32::from(self.first[&ticket] - request.first_attempt <= objective);
+        let name = request.engine.clone().expect("the request was placed");
         self.vms[request.vm].scheduler.end(Moment(now), RequestSequence(ticket), RunEnd::Whole);
-        let engine = self.engines.get_mut(&name).expect("an engine");
+        let engine = self.engines.get_mut(&name).expect("the engine exists");
         engine.running -= 1;
         if let Some(next) = engine.queue.pop_front() {
             self.start(now, next, &name);
         }
     }
 
-    /// Does what a VM has decided, and lets it tell the others.
-    fn follow(&mut self, now: u64, vm: usize) {
+    /// Carries out a VM's decisions, and schedules its next digest.
+    fn apply_decisions(&mut self, now: u64, vm: usize) {
         for decision in self.vms[vm].scheduler.take_decisions() {
             match decision {
                 Decision::Place { ticket, target, .. } => {
@@ -340,34 +341,34 @@
                 }
                 Decision::Refuse { ticket, retry_after, .. } => {
                     let request = &self.requests[&ticket.0];
-                    let returns = self.callers_return && request.asked == request.arrived;
+                    let retries = self.callers_retry && request.first_attempt == request.arrived;
                     let tally = &mut self.tallies[request.kind];
                     tally.refused += 1;
-                    let held = Duration::from_micros(now - request.arrived);
-                    tally.held = tally.held.max(held);
-                    tally.held_sum += held;
-                    if returns {
+                    let until_refusal = Duration::from_micros(now - request.arrived);
+                    tally.until_refusal = tally.until_refusal.max(until_refusal);
+                    tally.until_refusal_sum += until_refusal;
+                    if retries {
                         let at = now + retry_after.as_micros() as u64;
-                        self.plan(at, Happening::Return(ticket.0));
+                        self.schedule(at, SimEvent::Retry(ticket.0));
                     }
                 }
             }
         }
-        let teller = &mut self.vms[vm];
-        if teller.scheduler.take_changed() && !std::mem::replace(&mut teller.tells, true) {
-            let interval = teller.scheduler.digest_interval().as_micros() as u64;
-            let at = now.max(teller.told_at + interval);
-            self.plan(at, Happening::Tell(vm));
+        let sender = &mut self.vms[vm];
+        if sender.scheduler.take_changed() && !std::mem::replace(&mut sender.is_sending, true) {
+            let interval = sender.scheduler.digest_interval().as_micros() as u64;
+            let at = now.max(sender.sent_at + interval);
+            self.schedule(at, SimEvent::Send(vm));
         }
     }
 
     fn serve(&mut self, now: u64, ticket: u64, name: &str) {
         self.placed += 1;
-        self.requests.get_mut(&ticket).expect("it came").engine = Some(name.to_owned());
-        let engine = self.engines.get_mut(name).expect("an engine");
+        self.requests.get_mut(&ticket).expect("the request arrived").engine = Some(name.to_owned());
+        let engine = self.engines.get_mut(name).expect("the engine exists");
         if engine.running >= SLOTS {
             engine.queue.push_back(ticket);
-            self.stood_in_line += 1;
+            self.without_slot += 1;
         } else {
             self.start(now, ticket, name);
         }
@@ -375,14 +376,14 @@
 
     fn start(&mut self, now: u64, ticket: u64, name: &str) {
         let kind = KINDS[self.requests[&ticket].kind];
-        let engine = self.engines.get_mut(name).expect("an engine");
+        let engine = self.engines.get_mut(name).expect("the engine exists");
         engine.running += 1;
-        engine.reader_free = engine.reader_free.max(now) + kind.prompt * engine.per_token;
-        let (first, per_event) = (engine.reader_free + 20_000, engine.per_event);
+        engine.reader_free_at = engine.reader_free_at.max(now) + kind.prompt * engine.per_token;
+        let (first, per_event) = (engine.reader_free_at + 20_000, engine.per_event);
         for number in 0..kind.events {
-            self.plan(first + number * per_event, Happening::Event(ticket));
+            self.schedule(first + number * per_event, SimEvent::Event(ticket));
         }
-        self.plan(first + kind.events * per_event, Happening::End(ticket));
+        self.schedule(first + kind.events * per_event, SimEvent::End(ticket));
     }
 }
 
