--- a/crates/ryetide-core/src/digest_pace.rs
+++ b/crates/ryetide-core/src/digest_pace.rs
@@ -1,31 +1,33 @@
-//! How often a VM tells the others of its cell what has changed.
+//! How often a VM sends digests to the peers in its cell.
 //!
-//! Answers a burst in a large cell: every VM has a line, something changes at each of them every few
-//! milliseconds, and all others of the cell are told. Told directly, a VM takes as many messages as it has
-//! mates, until it does nothing but listen. So digests of large cells are further apart where nobody can pass
-//! them on, and each VM is told as often as in a cell of [`CELL_SIZE`]. What depends on how soon the others
-//! know of a change, such as the turns at a free place, takes its time from here.
+//! During a burst in a large cell, every VM has a queue, something changes at each of them every
+//! few milliseconds, and each change is sent to all others of the cell. Sent directly, that costs
+//! each VM as many messages per interval as it has peers, until it spends all its processor time on
+//! receiving them. Where no VM can relay digests, the interval therefore grows with the size of the
+//! cell, so that each VM receives as many digests as in a cell of [`CELL_SIZE`]. Whatever depends
+//! on how soon the others know of a change, such as the turns for a free slot, derives its time
+//! from here.
 
 use std::time::Duration;
 
 use crate::cell_plan::CELL_SIZE;
 
-/// The time between two digests of a VM in a cell of [`CELL_SIZE`]: under the time between two VMs' decisions
-/// at a usual load. Its seven mates then tell a VM some 1,200 times a second at the most, which is a third of
-/// what one with 0.12 of a core can take.
+/// The interval between two digests of a VM in a cell of [`CELL_SIZE`]. It is shorter than the time
+/// between two VMs' decisions at a usual load. A VM then receives at most some 1,200 digests a
+/// second from its seven peers, a third of what one with 0.12 of a core can process.
 const CELL_INTERVAL: Duration = Duration::from_millis(6);
-/// The time between two digests that are passed on, at the least: a VM's share of what those that pass on take,
-/// which is then no more than 1,100 digests a second for each of three before forty VMs.
-const PASSED_ON_INTERVAL: Duration = Duration::from_millis(12);
-/// The time between two messages in which a VM passes on what came to it. The other VMs take that many messages
-/// from each VM that passes on, 50 a second; the digests wait half as long on their way, in the mean.
+/// The shortest interval between two digests that are sent through a relay. It keeps the load of
+/// each of three relays for forty VMs at 1,100 digests a second or less.
+const RELAYED_INTERVAL: Duration = Duration::from_millis(12);
+/// The interval between two messages of a relay. Every other VM receives 50 messages a second from
+/// each relay; a digest waits half the interval at the relay on average.
 pub const RELAY_INTERVAL: Duration = Duration::from_millis(20);
-/// What a digest needs to reach the others: up to 2 ms between data centres.
-const TRAVEL: Duration = Duration::from_millis(2);
-/// In how many digests a change is told again, so that those which are lost are made good.
-const TOLD_AGAIN: u32 = 5;
+/// The network delay of a digest: up to 2 ms between data centres.
+const NETWORK_DELAY: Duration = Duration::from_millis(2);
+/// How many digests repeat a change, so that the loss of some is made up for.
+const REPEATS: u32 = 5;
 
-/// The times that follow from how a VM's mates are told.
+/// The timing of a VM's digests, which follows from the way they are sent.
 ///
 /// # Example
 ///
@@ -40,36 +42,36 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DigestPace {
     interval: Duration,
-    /// How long a digest waits on its way to be passed on.
-    waits: Duration,
+    /// The longest time for which a digest waits at a relay.
+    relay_delay: Duration,
 }
 
 impl DigestPace {
-    /// Returns the pace of a VM that tells this many mates directly.
-    pub fn direct(mates: usize) -> Self {
-        let mates = u32::try_from(mates).unwrap_or(u32::MAX);
+    /// Returns the timing of a VM that sends its digests directly to this many peers in its cell.
+    pub fn direct(peers: usize) -> Self {
+        let peers = u32::try_from(peers).unwrap_or(u32::MAX);
         let usual = u32::try_from(CELL_SIZE - 1).unwrap_or(u32::MAX);
-        let interval = (CELL_INTERVAL.saturating_mul(mates) / usual).max(CELL_INTERVAL);
-        Self { interval, waits: Duration::ZERO }
+        let interval = (CELL_INTERVAL.saturating_mul(peers) / usual).max(CELL_INTERVAL);
+        Self { interval, relay_delay: Duration::ZERO }
     }
 
-    /// Returns the pace of a VM whose digests another one passes on.
+    /// Returns the timing of a VM that sends its digests through a relay.
     pub fn passed_on() -> Self {
-        Self { interval: PASSED_ON_INTERVAL, waits: RELAY_INTERVAL }
+        Self { interval: RELAYED_INTERVAL, relay_delay: RELAY_INTERVAL }
     }
 
-    /// Returns the shortest time between two digests.
+    /// Returns the shortest interval between two digests.
     pub fn interval(&self) -> Duration {
         self.interval
     }
 
-    /// Returns for how long a change is told again.
+    /// Returns for how long digests repeat a change.
     pub fn change_span(&self) -> Duration {
-        self.interval * TOLD_AGAIN
+        self.interval * REPEATS
     }
 
-    /// Returns the time within which a change at one VM is known at all its mates.
+    /// Returns the time within which a change at one VM reaches all peers in its cell.
     pub fn news_span(&self) -> Duration {
-        self.interval + self.waits + TRAVEL
+        self.interval + self.relay_delay + NETWORK_DELAY
     }
 }
--- a/crates/ryetide-core/src/digest_route.rs
+++ b/crates/ryetide-core/src/digest_route.rs
@@ -1,15 +1,18 @@
-//! By which way a digest reaches those whom it concerns.
+//! Routes digests to their recipients, directly or through relays.
 //!
-//! Told directly, the VMs of a large fleet spend themselves on telling each other: what each sends and takes
-//! grows with their number, and between data centres its bytes are paid for. So a digest goes to one VM of each
-//! group that it concerns, a large cell or another data centre, and that one passes it on to the rest of the
-//! group, in one message with all that came to it within some milliseconds.
+//! If every VM of a large fleet sent its digests directly to every other one, the VMs would spend
+//! their processor time on that: the number of messages that each VM sends and receives grows with
+//! the size of the fleet, and traffic between data centres is billed by the byte. A digest
+//! therefore goes to one relay in each group of recipients, which is a large cell or another data
+//! centre. The relay forwards it to the rest of the group, in one message with all digests that it
+//! has received within some milliseconds.
 //!
-//! Nobody is elected for that. Those that pass on are the first [`RELAY_COUNT`] of a group by a hash, of those
-//! that the sender hears; it draws one of them, anew for each digest. One that has died or is frozen so costs a
-//! part of the digests until it is not heard any more, and the next digests make good for it. A group none of
-//! whose VMs can pass on or is heard is told directly: after a start of all of them, or at the end of a cut, that
-//! is how they find each other.
+//! Relays are not elected. The candidates are the first [`RELAY_COUNT`] reachable VMs of a group in
+//! the order of a hash, and the sender picks one of them at random for each digest. A dead or
+//! frozen relay thus loses a part of the digests until the sender takes it for unreachable, and
+//! later digests make up for the loss. Digests go directly to all members of a group in which no
+//! candidate is reachable. That is how VMs find each other after all of them have started at once,
+//! or after a network partition.
 
 use std::collections::BTreeMap;
 
@@ -22,19 +25,21 @@
     units::LinkRate,
 };
 
-/// VMs of a group that pass digests on. With one, its death would leave the group without news until it is not
-/// heard any more; with each one more, the others take as many messages again.
+/// The number of relays in a group. With a single one, its death would cut the group off from
+/// digests until it counts as unreachable; each additional one adds as many messages again for the
+/// other VMs.
 pub const RELAY_COUNT: usize = 3;
-/// Up to this many mates are told directly: a message each costs less than the time that passing on takes.
+/// The largest number of peers in a cell that receive digests directly: one message to each costs
+/// less than the delay of a relay.
 pub const DIRECT_LIMIT: usize = WHOLE_LIMIT;
-/// Only VMs with a link of this speed pass on: for forty VMs in a burst the digests are some 67 Mbit/s by their sizes, 22
-/// for each of three. Passed on over links of 20 Mbit/s, the first seconds of a heavy day had 0.20 of all worth; over
-/// links of 200 Mbit/s 0.34, as when told directly, with 0.018 of a core a VM instead of 0.026.
+/// The slowest link of a relay. The digests of forty VMs in a burst take some 67 Mbit/s, 22 for
+/// each of three relays, which a link of 20 Mbit/s cannot carry.
 pub const RELAY_LINK: LinkRate = LinkRate(100);
-/// Other data centres of fewer VMs than this are told directly: passing on would spare nothing.
-const LEAST_PASSED_ON: usize = 2;
+/// Data centres with fewer VMs than this receive digests directly, because a relay would save no
+/// message.
+const MIN_RELAYED_GROUP: usize = 2;
 
-/// Another VM, as far as the way of digests goes.
+/// Another VM, as a recipient or relay of digests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DigestPeer {
     /// Its name.
@@ -45,23 +50,23 @@
     pub link: LinkRate,
 }
 
-/// Who gets one digest from its sender.
+/// The recipients of one digest.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DigestRecipients {
-    /// VMs that take it for themselves.
+    /// VMs to which the digest is sent for themselves only.
     pub direct: Vec<VmName>,
-    /// VMs that pass it on to the others of their group besides, one for each group.
+    /// Relays, one for each group; they also forward the digest to the rest of their group.
     pub relays: Vec<VmName>,
 }
 
 impl DigestRecipients {
-    /// Returns whether nobody gets it.
+    /// Returns whether there are no recipients.
     pub fn is_empty(&self) -> bool {
         self.direct.is_empty() && self.relays.is_empty()
     }
 }
 
-/// Draws the way of each digest.
+/// Chooses the recipients of each digest.
 ///
 /// # Example
 ///
@@ -85,31 +90,32 @@
 }
 
 impl DigestRoute {
-    /// Creates a source of ways; the same seed gives the same ones.
+    /// Creates a router; the same seed gives the same choices.
     pub fn new(seed: u64) -> Self {
         Self { rng: SmallRng::seed_from_u64(seed) }
     }
 
-    /// Draws who of a VM's `mates` gets a digest.
+    /// Chooses the recipients among the peers in the VM's cell.
     pub fn draw_mates(
         &mut self,
-        mates: &[DigestPeer],
-        is_heard: impl Fn(&VmName) -> bool,
+        peers: &[DigestPeer],
+        is_reachable: impl Fn(&VmName) -> bool,
     ) -> DigestRecipients {
-        let all: Vec<&DigestPeer> = mates.iter().collect();
-        let relay = if mates.len() > DIRECT_LIMIT { self.draw_relay(&all, is_heard) } else { None };
+        let all: Vec<&DigestPeer> = peers.iter().collect();
+        let relay =
+            if peers.len() > DIRECT_LIMIT { self.pick_relay(&all, is_reachable) } else { None };
         match relay {
             Some(relay) => DigestRecipients { direct: Vec::new(), relays: vec![relay] },
             None => DigestRecipients { direct: names(all).collect(), relays: Vec::new() },
         }
     }
 
-    /// Draws who of the `others`, those that are no mates, gets a digest from a VM of data centre `own`.
+    /// Chooses the recipients among the VMs outside the cell, for a sender in data centre `own`.
     pub fn draw_others(
         &mut self,
         own: &DataCentreName,
         others: &[DigestPeer],
-        is_heard: impl Fn(&VmName) -> bool,
+        is_reachable: impl Fn(&VmName) -> bool,
     ) -> DigestRecipients {
         let mut centres: BTreeMap<&DataCentreName, Vec<&DigestPeer>> = BTreeMap::new();
         for peer in others {
@@ -117,8 +123,8 @@
         }
         let mut recipients = DigestRecipients::default();
         for (centre, vms) in centres {
-            let is_near = centre == own || vms.len() < LEAST_PASSED_ON;
-            let relay = if is_near { None } else { self.draw_relay(&vms, &is_heard) };
+            let is_direct = centre == own || vms.len() < MIN_RELAYED_GROUP;
+            let relay = if is_direct { None } else { self.pick_relay(&vms, &is_reachable) };
             match relay {
                 Some(relay) => recipients.relays.push(relay),
                 None => recipients.direct.extend(names(vms)),
@@ -127,21 +133,21 @@
         recipients
     }
 
-    /// Draws one of those that pass on in a group; nothing when none of them is heard.
-    fn draw_relay(
+    /// Picks one of a group's relays at random; none when no candidate is reachable.
+    fn pick_relay(
         &mut self,
         group: &[&DigestPeer],
-        is_heard: impl Fn(&VmName) -> bool,
+        is_reachable: impl Fn(&VmName) -> bool,
     ) -> Option<VmName> {
-        let able = group.iter().filter(|peer| peer.link >= RELAY_LINK).map(|peer| &peer.name);
-        let mut heard: Vec<&VmName> = able.filter(|vm| is_heard(vm)).collect();
-        heard.sort_by_key(|vm| xxh3::xxh3_64(vm.as_str().as_bytes()));
-        heard.truncate(RELAY_COUNT);
-        if heard.is_empty() {
+        let fast = group.iter().filter(|peer| peer.link >= RELAY_LINK).map(|peer| &peer.name);
+        let mut reachable: Vec<&VmName> = fast.filter(|vm| is_reachable(vm)).collect();
+        reachable.sort_by_key(|vm| xxh3::xxh3_64(vm.as_str().as_bytes()));
+        reachable.truncate(RELAY_COUNT);
+        if reachable.is_empty() {
             return None;
         }
-        let drawn = self.rng.random_range(0..heard.len());
-        Some(heard[drawn].clone())
+        let picked = self.rng.random_range(0..reachable.len());
+        Some(reachable[picked].clone())
     }
 }
 
--- a/crates/ryetide-core/src/era_version.rs
+++ b/crates/ryetide-core/src/era_version.rs
@@ -1,16 +1,19 @@
-//! Versions of a source that may come back from a copy of itself.
+//! Versions of a source that may be restored from an older copy of itself.
 //!
-//! A source numbers its changes. When it comes back from a copy, its numbers go back and are given out again, and it tells
-//! another era, which only rises. A number means nothing outside its era, so every version that is kept or told holds
-//! both, the era first: whatever compares versions then takes all of a later era for newer.
+//! A source numbers its changes. When it is restored from a copy, it continues from the copy's
+//! number and gives out some numbers a second time, but reports a higher era; eras only rise. A
+//! number is therefore meaningful only within its era. Every version that is stored or sent holds
+//! both, with the era in the high bits, so that comparing two versions takes all of a later era as
+//! newer.
 
 use std::fmt;
 
-/// The bits of a version that hold its number; the era has those above.
+/// The number of low bits of a packed version that hold the change number; the era has the bits
+/// above.
 const NUMBER_BITS: u32 = 44;
 const NUMBER_MASK: u64 = (1 << NUMBER_BITS) - 1;
 
-/// A number of a source's change, and the era in which it was given out.
+/// The number of a source's change, and the era in which it was given out.
 ///
 /// # Example
 ///
@@ -21,24 +24,24 @@
 /// let after = EraVersion { era: 2, number: 51 };
 /// assert!(after.joined() > before.joined());
 /// assert_eq!(EraVersion::of(after.joined()), after);
-/// // A source that tells no era has its numbers as they are.
+/// // Without an era, the packed form is the number itself.
 /// assert_eq!(EraVersion { era: 0, number: 55 }.joined(), 55);
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct EraVersion {
-    /// The era.
+    /// The source's era.
     pub era: u64,
-    /// The number in it.
+    /// The number of the change in the era.
     pub number: u64,
 }
 
 impl EraVersion {
-    /// Reads a version from the one number that [`EraVersion::joined`] gives.
+    /// Unpacks a version from the form that [`EraVersion::joined`] returns.
     pub fn of(joined: u64) -> Self {
         Self { era: joined >> NUMBER_BITS, number: joined & NUMBER_MASK }
     }
 
-    /// Returns both as one number, which rises with either.
+    /// Returns the version packed into one number, ordered by era and then by number.
     pub fn joined(self) -> u64 {
         let greatest_era = u64::MAX >> NUMBER_BITS;
         self.era.min(greatest_era) << NUMBER_BITS | self.number.min(NUMBER_MASK)
--- a/crates/ryetide-core/src/load_digest.rs
+++ b/crates/ryetide-core/src/load_digest.rs
@@ -1,10 +1,11 @@
-//! What entry VMs tell each other about the targets they share.
+//! Digests: the load reports that entry VMs send each other about the targets they share.
 //!
-//! A whole digest says all that one VM has to say, so that a VM which has just started knows everything
-//! after one digest of each peer. Between whole ones, digests tell what has changed lately, each change
-//! several times, so that a lost one is made good by the next: told whole after each change, the digests of
-//! a burst filled links of 10 Mbit/s by themselves. Digests are soft state: one that is late or missing
-//! costs quality, never safety.
+//! A full digest holds the complete state of one VM, so that a VM which has just started knows
+//! everything after one digest from each peer. Digests in between hold only recent changes. Each
+//! change is repeated in several digests, so that the next one makes up for a lost one. Full
+//! digests after every change would fill links of 10 Mbit/s during a burst.
+//!
+//! Digests are soft state: a late or missing one degrades scheduling quality, never safety.
 
 use serde::{Deserialize, Serialize};
 
@@ -20,106 +21,114 @@
     watch_duty::WatchNote,
 };
 
-/// What one VM has under way at one target.
+/// One VM's load on one target.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 pub struct TargetMark {
     /// The target.
     pub target: TargetKey,
-    /// Requests sent and not ended.
+    /// Requests dispatched that have not ended.
     pub running: u16,
-    /// Prompt tokens sent and not yet read, as this VM reckons.
+    /// Estimated prompt tokens dispatched that the target has not processed yet.
     pub unread: u32,
-    /// Whether it could not be reached from here when last tried, or has stalled here.
+    /// Whether the sender suspects that the target has failed: its last connection attempt failed,
+    /// or a request to the target has stalled.
     pub doubtful: bool,
-    /// What this VM has learnt of its speed; only in a whole digest.
+    /// The sender's estimate of the target's speed; only in a full digest.
     pub pace: Option<PaceReport>,
 }
 
-/// What waits at one VM for one service, in one class of urgency.
+/// Queued requests of one service at one VM, in one class of urgency.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct WaitMark {
     /// The service.
     pub service: ServiceKey,
-    /// How urgent these are.
+    /// The class of urgency.
     pub class: ClaimClass,
-    /// How many wait.
+    /// The number of queued requests.
     pub count: u16,
 }
 
-/// A prompt that was sent to a target not long ago.
+/// A prompt that was recently dispatched to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct PlacedPrompt {
-    /// The number of the placement in the VM's life; peers take each one once.
+    /// The number of the placement in the VM's incarnation; peers apply each one once.
     pub number: u32,
-    /// The hash of the prompt's last part.
+    /// The hash of the prompt's last segment.
     pub part: u32,
     /// The target.
     pub target: TargetKey,
-    /// The prompt's tokens.
+    /// The prompt's length.
     pub tokens: u32,
 }
 
-/// How far this VM's knowledge of the fleet reaches, and what it knows before the others.
+/// How current this VM's routes and targets are, and what only this VM knows.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct FleetNews {
-    /// The version of the routes in force.
+    /// The revision of the routes in force.
     pub revision: Revision,
-    /// The newest news of the targets' registry, as its source numbers them.
+    /// The newest change of the target registry that was received, as the registry's source numbers
+    /// changes.
     pub registry: u64,
-    /// The number up to which all news of the registry have come.
+    /// The number up to which all changes of the registry have been received.
     pub registry_reached: u64,
-    /// What this VM tells of its watch; nothing while it rests, or has lost the source.
+    /// The positions of the tables that this VM watches; none while it is passive or cannot reach
+    /// the source.
     pub watch: Option<WatchNote>,
-    /// Targets that have said that they leave, where the registry does not tell.
+    /// Targets that have announced in their answers that they are leaving, where the registry does
+    /// not say so.
     pub leaving_targets: Vec<LeavingMark>,
 }
 
-/// How much of what a VM has to say a digest tells.
+/// Which part of a VM's state a digest holds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub enum DigestScope {
-    /// Everything: of a target that is not named, nothing is under way.
+    /// All of it: a target that is not listed has no requests of this VM.
     #[default]
     Whole,
-    /// What has changed lately, for the VMs that heard the rest.
+    /// Recent changes, for VMs that have received the rest.
     Changes,
-    /// What must be known everywhere, for VMs of other cells.
+    /// What VMs of other cells need.
     Brief,
 }
 
-/// All that one VM tells its peers.
+/// A report from one VM to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct LoadDigest {
-    /// This life of the VM's process.
+    /// The incarnation of the VM's process.
     pub incarnation: Incarnation,
-    /// Rises with each digest of a life; a lower one came late and is dropped.
+    /// The digest's number in the incarnation; a digest with a lower number than the last is out of
+    /// date and dropped.
     pub sequence: u64,
     /// Whether the VM is shutting down.
     pub leaving: bool,
-    /// How much of what the VM has to say is told.
+    /// Which part of the VM's state this digest holds.
     pub scope: DigestScope,
-    /// The VM's data centre; not among changes.
+    /// The VM's data centre; none in a digest of changes.
     pub data_centre: Option<DataCentreName>,
-    /// The version of the routes in force there.
+    /// The revision of the routes in force at the VM.
     pub revision: Revision,
-    /// The newest news of the targets' registry that came there, as its source numbers them.
+    /// The newest change of the target registry that the VM has received, as the registry's source
+    /// numbers changes.
     pub registry: u64,
-    /// How far what came from the source reaches; nothing while the VM rests, or has lost the source.
+    /// The positions of the tables that the VM watches; none while it is passive or cannot reach
+    /// the source.
     pub watch: Option<WatchNote>,
-    /// What runs where.
+    /// The VM's load on each target.
     pub targets: Vec<TargetMark>,
-    /// What waits.
+    /// The VM's queued requests.
     pub waiting: Vec<WaitMark>,
-    /// Units that each organisation was let through for since the VM started.
+    /// Quota units that the VM has admitted for each organisation since it started.
     pub spent: Vec<(OrganisationKey, u64)>,
-    /// The last prompts placed, newest last.
+    /// The most recent placements of prompts, newest last.
     pub placed: Vec<PlacedPrompt>,
-    /// Which requests ended in crashes of targets.
+    /// Which requests crashed targets.
     pub crashes: CrashNews,
-    /// Targets that have said in their answers that they leave, where the registry does not tell.
+    /// Targets that have announced in their answers that they are leaving, where the registry does
+    /// not say so.
     pub leaving_targets: Vec<LeavingMark>,
-    /// How far orders to bring new versions in are.
+    /// The progress of rollouts.
     pub rollouts: Vec<RolloutMark>,
-    /// What targets have said last of their limits.
+    /// The limits that targets have last announced.
     pub limits: Vec<LimitMark>,
 }
 
@@ -128,6 +137,6 @@
 pub struct DigestEnvelope {
     /// The sender.
     pub from: VmName,
-    /// What it says.
+    /// The digest.
     pub digest: LoadDigest,
 }
--- a/crates/ryetide-core/src/peer_board.rs
+++ b/crates/ryetide-core/src/peer_board.rs
@@ -1,4 +1,4 @@
-//! What the other entry VMs said last, and which of them are heard.
+//! The other entry VMs: their last digests, and which of them are reachable.
 
 use std::{cmp::Ordering, collections::BTreeMap, time::Duration};
 
@@ -11,69 +11,73 @@
     watch_duty::WATCH_SPAN,
 };
 
-/// A peer that said nothing for this long is not heard: two of the slowest digests, and some.
+/// A peer is reachable while its last digest is younger than this: the longest interval between two
+/// digests twice, and a margin.
 pub const HEARD_SPAN: Duration = Duration::from_millis(2_500);
-/// A peer that was not heard for this long no longer counts as serving its part.
-const KNOWN_SPAN: Duration = Duration::from_secs(20);
+/// A peer whose last digest is older than this no longer counts as serving, and its share of quotas
+/// and limits goes to the others.
+const SERVING_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A peer that was not heard for this long is no member of a cell: its callers have gone to others.
-const MEMBER_SPAN: Duration = Duration::from_secs(5);
+/// A peer whose last digest is older than this is not a member of a cell: its callers have moved to
+/// other VMs.
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
-struct PeerNote {
+struct PeerRecord {
     incarnation: Incarnation,
     sequence: u64,
     placed: u32,
-    heard: Moment,
+    received_at: Moment,
     leaving: bool,
     data_centre: Option<DataCentreName>,
     revision: Revision,
     registry: u64,
-    /// Whether it watches the source of routes and targets.
+    /// Whether the peer watches the source of routes and targets.
     watches: bool,
     waiting: Vec<WaitMark>,
 }
 
-/// What taking a digest changed.
+/// The effect of applying a digest.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DigestChange {
-    /// It is older than what was heard already.
+    /// The digest is not newer than the last one of the peer.
     Stale,
-    /// It follows what was heard; placements after this number are new.
+    /// The digest is newer than the last one; placements above `placed` have not been applied.
     Newer {
-        /// The number of the last placement already taken.
+        /// The number of the last placement that was applied.
         placed: u32,
-        /// For how long the peer had not been heard.
-        unheard: Duration,
+        /// The time since the last digest of the peer.
+        silent_for: Duration,
     },
-    /// The peer was not known in this life.
+    /// The peer was not known in this incarnation.
     NewLife,
 }
 
-/// In what this VM is behind a peer that is heard.
+/// Whether this VM's routes and targets are older than those of a reachable peer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct FeedLag {
-    /// A peer has a newer version of the routes.
+    /// A peer has a newer revision of the routes.
     pub routes: bool,
-    /// A peer has newer news of targets.
+    /// A peer has received newer changes of targets.
     pub targets: bool,
 }
 
-/// Requests that wait at peers, as seen from one that waits here.
+/// Requests queued at peers that go before, or on a level with, a request queued here.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct AheadCount {
-    /// Those that are more urgent.
+    /// Requests of a more urgent class.
     pub better: u32,
-    /// Those that are as urgent.
+    /// Requests of the same class.
     pub equal: u32,
 }
 
-/// How many VMs there are believed to be before the list of them was read: the most of one cell.
-const UNLISTED_COUNT: usize = 12;
+/// The assumed number of VMs before the list of VMs has been read: the most of a deployment that is
+/// one cell.
+const ASSUMED_COUNT: usize = 12;
 
-/// A peer of which only the list tells.
+/// A peer that is listed and has not sent a digest yet.
 #[derive(Clone, Debug)]
-struct UnheardPeer {
+struct ListedPeer {
     since: Moment,
     data_centre: DataCentreName,
 }
@@ -81,36 +85,38 @@
 /// The peers of this VM.
 #[derive(Debug, Default)]
 pub struct PeerBoard {
-    notes: BTreeMap<VmName, PeerNote>,
-    /// Peers that are listed and have not been heard yet, with the time at which they were listed
-    /// first. None before the list was read.
-    unheard: Option<BTreeMap<VmName, UnheardPeer>>,
+    records: BTreeMap<VmName, PeerRecord>,
+    /// Peers that are listed and have not sent a digest yet. None before the list has been read.
+    unreported: Option<BTreeMap<VmName, ListedPeer>>,
 }
 
 impl PeerBoard {
-    /// Takes a digest's account of the peer itself.
+    /// Records what a digest says about the peer itself.
     pub fn take(&mut self, now: Moment, from: &VmName, digest: &LoadDigest) -> DigestChange {
-        let known = self.notes.get(from).filter(|note| note.incarnation == digest.incarnation);
+        let known =
+            self.records.get(from).filter(|record| record.incarnation == digest.incarnation);
         let change = match known {
-            Some(note) if note.sequence >= digest.sequence => return DigestChange::Stale,
-            Some(note) => {
-                DigestChange::Newer { placed: note.placed, unheard: now.since(note.heard) }
-            }
+            Some(record) if record.sequence >= digest.sequence => return DigestChange::Stale,
+            Some(record) => DigestChange::Newer {
+                placed: record.placed,
+                silent_for: now.since(record.received_at),
+            },
             None => DigestChange::NewLife,
         };
         let placed = match change {
             DigestChange::Newer { placed, .. } => placed,
             DigestChange::Stale | DigestChange::NewLife => 0,
         };
-        // Digests of changes do not say it again; of a peer that is heard first by one, the list tells.
-        let listed = self.unheard.as_ref().and_then(|unheard| unheard.get(from));
+        // A digest of changes does not name the data centre. It comes from earlier digests then, or
+        // from the list.
+        let listed = self.unreported.as_ref().and_then(|unreported| unreported.get(from));
         let listed_centre = listed.map(|peer| peer.data_centre.clone());
-        let known_centre = known.and_then(|note| note.data_centre.clone()).or(listed_centre);
-        let note = PeerNote {
+        let known_centre = known.and_then(|record| record.data_centre.clone()).or(listed_centre);
+        let record = PeerRecord {
             incarnation: digest.incarnation,
             sequence: digest.sequence,
             placed: digest.placed.last().map_or(placed, |placed| placed.number),
-            heard: now,
+            received_at: now,
             leaving: digest.leaving,
             data_centre: digest.data_centre.clone().or(known_centre),
             revision: digest.revision,
@@ -118,91 +124,99 @@
             watches: digest.watch.is_some() && !digest.leaving,
             waiting: digest.waiting.clone(),
         };
-        self.notes.insert(from.clone(), note);
-        if let Some(unheard) = &mut self.unheard {
-            unheard.remove(from);
+        self.records.insert(from.clone(), record);
+        if let Some(unreported) = &mut self.unreported {
+            unreported.remove(from);
         }
         change
     }
 
-    /// Takes the list of peers. Those that are listed count before they are heard: after all VMs were
-    /// killed at once, each that counted only whom it hears would take itself for the only one, and
-    /// let all callers of an organisation use its whole quota.
+    /// Records the list of peers. Listed peers count before their first digest. Otherwise, after
+    /// all VMs were killed at once, each VM would take itself for the only one and let an
+    /// organisation's callers use the whole quota at every VM.
     pub fn list(&mut self, now: Moment, listed: &[CellMember]) {
-        let before = self.unheard.take().unwrap_or_default();
-        let unheard = listed.iter().filter(|member| !self.notes.contains_key(&member.name));
+        let before = self.unreported.take().unwrap_or_default();
+        let unreported = listed.iter().filter(|member| !self.records.contains_key(&member.name));
         let peer = |member: &CellMember| {
             let since = before.get(&member.name).map_or(now, |peer| peer.since);
             let data_centre = member.data_centre.clone();
-            (member.name.clone(), UnheardPeer { since, data_centre })
+            (member.name.clone(), ListedPeer { since, data_centre })
         };
-        self.unheard = Some(unheard.map(peer).collect());
+        self.unreported = Some(unreported.map(peer).collect());
     }
 
-    /// Returns how many entry VMs count as serving, this one included.
+    /// Returns the number of entry VMs that count as serving, this one included.
     pub fn known_count(&self, now: Moment) -> usize {
-        let serving = self.notes.values().filter(|it| !it.leaving);
-        let known = serving.filter(|note| now.since(note.heard) < KNOWN_SPAN).count() + 1;
-        let Some(unheard) = &self.unheard else { return known.max(UNLISTED_COUNT) };
-        known + unheard.values().filter(|peer| now.since(peer.since) < KNOWN_SPAN).count()
+        let serving = self.records.values().filter(|it| !it.leaving);
+        let known =
+            serving.filter(|record| now.since(record.received_at) < SERVING_TIMEOUT).count() + 1;
+        let Some(unreported) = &self.unreported else { return known.max(ASSUMED_COUNT) };
+        known + unreported.values().filter(|peer| now.since(peer.since) < SERVING_TIMEOUT).count()
     }
 
-    /// Returns the peers that count as serving; nothing before the list of them was read.
+    /// Returns the peers that count as serving; none before the list of them has been read.
     pub fn known(&self, now: Moment) -> Option<Vec<&VmName>> {
-        let unheard = self.unheard.as_ref()?;
-        let listed = unheard.iter().filter(|(_, peer)| now.since(peer.since) < KNOWN_SPAN);
-        let serving = self.notes.iter().filter(|(_, note)| !note.leaving);
-        let heard = serving.filter(|(_, note)| now.since(note.heard) < KNOWN_SPAN);
-        Some(heard.map(|(name, _)| name).chain(listed.map(|(name, _)| name)).collect())
+        let unreported = self.unreported.as_ref()?;
+        let listed = unreported.iter().filter(|(_, peer)| now.since(peer.since) < SERVING_TIMEOUT);
+        let serving = self.records.iter().filter(|(_, record)| !record.leaving);
+        let recent = serving.filter(|(_, record)| now.since(record.received_at) < SERVING_TIMEOUT);
+        Some(recent.map(|(name, _)| name).chain(listed.map(|(name, _)| name)).collect())
     }
 
-    /// Returns the peers that count as serving, as far as cells go: those heard lately, and those just
-    /// listed. After all VMs were killed at once nobody is heard, and VMs that told everything to all
-    /// of 69 others would have no processor time left to hear any.
+    /// Returns the peers that may be members of cells: those with a recent digest, and those just
+    /// listed. Listed peers are included because no VM has received a digest after all VMs were
+    /// killed at once, and VMs that then sent full digests to all of 69 others would have no
+    /// processor time left to receive any.
     pub fn members(&self, now: Moment) -> Vec<CellMember> {
-        let serving = self.notes.iter().filter(|(_, note)| !note.leaving);
-        let lately = serving.filter(|(_, note)| now.since(note.heard) < MEMBER_SPAN);
-        let member = |(name, note): (&VmName, &PeerNote)| {
-            Some(CellMember { name: name.clone(), data_centre: note.data_centre.clone()? })
+        let serving = self.records.iter().filter(|(_, record)| !record.leaving);
+        let recent = serving.filter(|(_, record)| now.since(record.received_at) < MEMBER_TIMEOUT);
+        let member = |(name, record): (&VmName, &PeerRecord)| {
+            Some(CellMember { name: name.clone(), data_centre: record.data_centre.clone()? })
         };
-        let unheard = self.unheard.iter().flatten();
-        let listed = unheard.filter(|(_, peer)| now.since(peer.since) < MEMBER_SPAN);
-        let unheard_member = |(name, peer): (&VmName, &UnheardPeer)| CellMember {
+        let unreported = self.unreported.iter().flatten();
+        let listed = unreported.filter(|(_, peer)| now.since(peer.since) < MEMBER_TIMEOUT);
+        let listed_member = |(name, peer): (&VmName, &ListedPeer)| CellMember {
             name: name.clone(),
             data_centre: peer.data_centre.clone(),
         };
-        lately.filter_map(member).chain(listed.map(unheard_member)).collect()
+        recent.filter_map(member).chain(listed.map(listed_member)).collect()
     }
 
-    /// Returns whether a peer was heard lately and is not shutting down, so that it may be asked to pass something on.
+    /// Returns whether a peer is reachable and not shutting down, so that it can relay digests.
     pub fn passes_on(&self, now: Moment, peer: &VmName) -> bool {
-        let is_able = |note: &PeerNote| !note.leaving && now.since(note.heard) < HEARD_SPAN;
-        self.notes.get(peer).is_some_and(is_able)
+        let is_available =
+            |record: &PeerRecord| !record.leaving && now.since(record.received_at) < HEARD_SPAN;
+        self.records.get(peer).is_some_and(is_available)
     }
 
-    /// Returns the part of the serving entry VMs that is heard, this one included.
+    /// Returns the share of the serving entry VMs that are reachable, this one included.
     pub fn heard_part(&self, now: Moment) -> f64 {
-        let heard = self.heard(now).filter(|note| !note.leaving).count() + 1;
-        heard as f64 / self.known_count(now) as f64
+        let reachable = self.reachable(now).filter(|record| !record.leaving).count() + 1;
+        reachable as f64 / self.known_count(now) as f64
     }
 
-    /// Returns in what peers that are heard have news which this VM, that has `news`, has not.
+    /// Returns whether reachable peers have newer routes or targets than this VM, whose state is
+    /// `news`.
     pub fn feed_lag(&self, now: Moment, news: FleetNews) -> FeedLag {
         FeedLag {
-            routes: self.heard(now).any(|note| note.revision > news.revision),
-            targets: self.heard(now).any(|note| note.registry > news.registry_reached),
+            routes: self.reachable(now).any(|record| record.revision > news.revision),
+            targets: self.reachable(now).any(|record| record.registry > news.registry_reached),
         }
     }
 
-    /// Returns the peers that watch the source of routes and targets, as their last digests say.
+    /// Returns the peers that watch the source of routes and targets, by their last digests.
     pub fn watching(&self, now: Moment) -> impl Iterator<Item = &VmName> {
-        let heard = self.notes.iter().filter(move |(_, note)| now.since(note.heard) < WATCH_SPAN);
-        heard.filter(|(_, note)| note.watches).map(|(vm, _)| vm)
+        let recent = self
+            .records
+            .iter()
+            .filter(move |(_, record)| now.since(record.received_at) < WATCH_SPAN);
+        recent.filter(|(_, record)| record.watches).map(|(vm, _)| vm)
     }
 
-    /// Returns the requests at peers that are of a better class than `class`, and those of the same.
+    /// Returns the number of requests at peers in more urgent classes than `class`, and in the same
+    /// class.
     pub fn ahead(&self, now: Moment, service: ServiceKey, class: ClaimClass) -> AheadCount {
-        let marks = self.heard(now).flat_map(|note| note.waiting.iter());
+        let marks = self.reachable(now).flat_map(|record| record.waiting.iter());
         let mut ahead = AheadCount::default();
         for mark in marks.filter(|mark| mark.service == service) {
             match mark.class.cmp(&class) {
@@ -214,23 +228,24 @@
         ahead
     }
 
-    /// Returns the peers that have requests waiting for a service, each with the class of its best.
+    /// Returns the peers with queued requests for a service, each with its most urgent class.
     pub fn claimants(&self, now: Moment, service: ServiceKey) -> Vec<PlaceClaimant<'_>> {
-        let heard = self.notes.iter().filter(|(_, note)| now.since(note.heard) < HEARD_SPAN);
-        let claimants = heard.filter_map(|(vm, note)| {
-            let marks = note.waiting.iter().filter(|mark| mark.service == service);
+        let reachable =
+            self.records.iter().filter(|(_, record)| now.since(record.received_at) < HEARD_SPAN);
+        let claimants = reachable.filter_map(|(vm, record)| {
+            let marks = record.waiting.iter().filter(|mark| mark.service == service);
             Some(PlaceClaimant { vm, class: marks.map(|mark| mark.class).min()? })
         });
         claimants.collect()
     }
 
-    /// Returns the requests that wait at peers for a service.
+    /// Returns the number of requests queued at peers for a service.
     pub fn waiting(&self, now: Moment, service: ServiceKey) -> u32 {
-        let marks = self.heard(now).flat_map(|note| note.waiting.iter());
+        let marks = self.reachable(now).flat_map(|record| record.waiting.iter());
         marks.filter(|mark| mark.service == service).map(|mark| u32::from(mark.count)).sum()
     }
 
-    fn heard(&self, now: Moment) -> impl Iterator<Item = &PeerNote> {
-        self.notes.values().filter(move |note| now.since(note.heard) < HEARD_SPAN)
+    fn reachable(&self, now: Moment) -> impl Iterator<Item = &PeerRecord> {
+        self.records.values().filter(move |record| now.since(record.received_at) < HEARD_SPAN)
     }
 }
--- a/crates/ryetide-core/src/watch_duty.rs
+++ b/crates/ryetide-core/src/watch_duty.rs
@@ -1,13 +1,16 @@
-//! Which VMs hold calls open at the source of routes and targets, and which rest on what those tell.
+//! Selects which VMs watch the source of routes and targets, and which rely on the watching VMs'
+//! updates.
 //!
-//! Each open call is answered at every change, and is paid for: 71 VMs that all followed two tables made
-//! 3,000 calls in a calm minute and 7,300 in one in which targets came and went, 0.03 to 0.04 of all worth.
-//! So in a large deployment [`WATCHER_COUNT`] VMs of each cell watch, and tell their mates each change as it
-//! comes. Nobody is elected and nothing is stored: every VM works out from its mates' digests whether it is
-//! among the first, in the order of [`WatchOrder`]. One that watches and falls silent, is leaving, or has lost
-//! the source counts no more, and the next in order watches within [`WATCH_SPAN`]. Two VMs that see their cell
-//! differently for a moment watch both, which costs calls; a mate that has missed a change sees it in the next
-//! digest and asks the source itself.
+//! A watching VM keeps a call open at the source, which answers it at every change, and each call
+//! is billed. In a large deployment only [`WATCHER_COUNT`] VMs of each cell therefore watch. They
+//! forward each change at once to the passive VMs of the cell.
+//!
+//! There is no election and no storage: each VM determines from the digests of its cell's VMs
+//! whether it is among the first in the order of [`WatchOrder`]. A watching VM that becomes silent,
+//! leaves or loses the source no longer counts, and the next in order starts to watch within
+//! [`WATCH_SPAN`]. VMs whose views of the cell differ for a moment may both watch, which costs
+//! extra calls. A passive VM that has missed a change sees so from the next digest and reads the
+//! source itself.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -16,43 +19,45 @@
 
 use crate::{digest_route::RELAY_LINK, ids::VmName, units::LinkRate};
 
-/// VMs of a cell that watch: with one, its death or freeze would leave its mates without news until they
-/// miss its digests.
+/// The number of watching VMs in a cell. If a single one died or froze, the others would get no
+/// updates until its digests are missed.
 pub const WATCHER_COUNT: usize = 2;
-/// A mate that was not heard for this long does not count as watching: two of the slowest digests and some.
-/// It is under half of the time within which a change must be in force everywhere, 2 s.
+/// A peer counts as watching while its last digest is younger than this: the longest interval
+/// between two full digests twice, and a margin. It is less than half of the 2 s within which a
+/// change must be in force everywhere.
 pub const WATCH_SPAN: Duration = Duration::from_millis(900);
 
-/// How far a VM's knowledge of one table reaches, as the table's source numbers changes.
+/// How far a VM has read one table, in the numbers that the table's source gives to changes.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct FeedMark {
     /// The number of the newest change.
     pub changed: u64,
-    /// The number up to which the table has no other change.
+    /// The number up to which the table has no other changes.
     pub reached: u64,
 }
 
-/// What a VM that watches tells its peers of it.
+/// What a watching VM reports to its peers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WatchNote {
-    /// The operators' routes.
+    /// The position in the operators' routes.
     pub routes: FeedMark,
-    /// The targets.
+    /// The position in the targets.
     pub targets: FeedMark,
 }
 
-/// The order in which the VMs of a cell watch.
+/// The order in which the VMs of a cell are selected to watch.
 ///
-/// Whoever watches tells all mates each change in a datagram of its own, and today's routes are 13 KB: told to forty
-/// mates, half a megabyte. Over links of 20 Mbit/s two thirds of the datagrams were lost, and as many VMs had the
-/// routes half a second later and with a call of their own to the store; over links of 200 Mbit/s none was.
+/// VMs with fast links go first. A watching VM sends each change to every peer of its cell in a
+/// separate datagram, and the routes alone can be 13 KB: for forty peers, half a megabyte. A slow
+/// link loses most of these datagrams, and as many VMs get the routes half a second later and with
+/// a call of their own to the source.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WatchOrder {
     fast: BTreeSet<VmName>,
 }
 
 impl WatchOrder {
-    /// Creates the order in which those go first whose links can carry what a cell is told.
+    /// Creates an order in which VMs with links fast enough for a cell's updates go first.
     ///
     /// # Example
     ///
@@ -70,14 +75,14 @@
         Self { fast: fast.map(|(vm, _)| vm).collect() }
     }
 
-    /// Returns whether `own` is among the first of those of its cell that can watch. `watching` are the mates that
-    /// do and are heard.
+    /// Returns whether `own` is among the first VMs of its cell that can watch. `watching` are the
+    /// reachable peers that do.
     pub fn is_first<'a>(&self, own: &VmName, watching: impl Iterator<Item = &'a VmName>) -> bool {
-        let own_place = self.place(own);
-        watching.filter(|vm| self.place(vm) < own_place).count() < WATCHER_COUNT
+        let own_rank = self.rank(own);
+        watching.filter(|vm| self.rank(vm) < own_rank).count() < WATCHER_COUNT
     }
 
-    fn place(&self, vm: &VmName) -> (bool, u64) {
+    fn rank(&self, vm: &VmName) -> (bool, u64) {
         (!self.fast.contains(vm), xxh3::xxh3_64(vm.as_str().as_bytes()))
     }
 }
