--- a/crates/ryetide-core/src/entry_limit.rs
+++ b/crates/ryetide-core/src/entry_limit.rs
@@ -1,4 +1,4 @@
-//! How an entry VM that arbitrates keeps to the limits that targets name.
+//! Applies the limits that targets announce to the arbiters of an entry VM.
 
 use crate::{
     effect::{Effect, EffectBuffer, Notice},
@@ -11,17 +11,18 @@
 };
 
 impl EntryCore {
-    /// Notes what the answer to a request says of its target's limit; an answer that names none ends the one that was known.
+    /// Records what the answer to a request says about its target's limit. An answer without a
+    /// limit ends the known one.
     pub(crate) fn note_limit(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         target: TargetKey,
-        word: LimitWord,
+        notice: LimitWord,
         effects: &mut EffectBuffer,
     ) {
-        let asked = self.requests.get(sequence).and_then(|record| record.dispatched);
-        if self.limits.note(now, target, word, asked.unwrap_or_default()) {
+        let sent_at = self.requests.get(sequence).and_then(|record| record.dispatched);
+        if self.limits.note(now, target, notice, sent_at.unwrap_or_default()) {
             let limit = self.limits.rate(target);
             self.notices.push(Notice::TargetLimit { sequence, target, limit });
             self.deal_limits(now);
@@ -29,7 +30,8 @@
         }
     }
 
-    /// The head of an answer has come: it has named no limit if nothing was told of one before.
+    /// Handles the head of an answer. If no notice of a limit came before it, the answer has
+    /// announced none.
     pub(crate) fn note_head(
         &mut self,
         now: Moment,
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Takes what a peer tells of limits.
+    /// Records peers' reports on limits.
     pub(crate) fn take_limits(&mut self, now: Moment, marks: &[LimitMark]) {
         let new = marks.iter().filter(|mark| self.limits.take(now, **mark)).count();
         if new > 0 {
@@ -51,19 +53,19 @@
         }
     }
 
-    /// Tells all peers what targets have said last of their limits.
+    /// Sends the latest announced limits to all peers.
     pub(crate) fn tell_limits(&mut self, now: Moment, effects: &mut EffectBuffer) {
-        let told = self.limits.told(now);
-        if told.is_empty() {
+        let reports = self.limits.told(now);
+        if reports.is_empty() {
             return;
         }
         for peer in self.peers.iter() {
-            let message = PeerMessage::Limits(told.clone());
+            let message = PeerMessage::Limits(reports.clone());
             effects.push(Effect::Send { to: peer.name.clone(), message });
         }
     }
 
-    /// Forgets what is too old, and finds anew which part of each limit is this VM's.
+    /// Drops expired announcements, and computes this VM's share of each limit.
     pub(crate) fn age_limits(&mut self, now: Moment) {
         if self.limits.is_empty() {
             return;
@@ -73,28 +75,29 @@
         self.deal_limits(now);
     }
 
-    /// Tells the arbiters here which part of each limit is theirs.
+    /// Sets the share of each limit for the arbiters of this VM.
     pub(crate) fn deal_limits(&mut self, now: Moment) {
         let scopes: Vec<ScopeKey> = self.arbiters.keys().copied().collect();
         for scope in scopes {
-            let part = self.limit_part(scope);
+            let share = self.limit_share(scope);
             if let Some(arbiter) = self.arbiters.get_mut(&scope) {
-                arbiter.set_limits(now, &self.limits, part);
+                arbiter.set_limits(now, &self.limits, share);
             }
         }
     }
 
-    /// The part of each limit that this VM's arbiter of a scope may use; nothing while another arbitrates it.
+    /// Returns the share of each limit that this VM's arbiter of a scope may use; none while
+    /// another VM arbitrates the scope.
     ///
-    /// The VMs that the elected one does not hear may run arbiters of their own; those it hears leave it to the elected one,
-    /// also when it does not answer them in time.
-    fn limit_part(&self, scope: ScopeKey) -> Option<f64> {
+    /// VMs that are unreachable for the elected VM may run arbiters of their own. VMs that the
+    /// elected one can reach do not, even when it does not answer them in time.
+    fn limit_share(&self, scope: ScopeKey) -> Option<f64> {
         let known = self.peers.known_count() as f64;
         if self.is_elected(scope) {
             return Some((self.peers.alive().count() + 1) as f64 / known);
         }
         let elected = self.elected.get(&scope).cloned().flatten();
-        let is_heard = elected.is_some_and(|name| self.peers.alive().any(|it| it.name == name));
-        (!is_heard).then_some(1.0 / known)
+        let is_reachable = elected.is_some_and(|name| self.peers.alive().any(|it| it.name == name));
+        (!is_reachable).then_some(1.0 / known)
     }
 }
--- a/crates/ryetide-core/src/entry_word.rs
+++ b/crates/ryetide-core/src/entry_word.rs
@@ -1,4 +1,4 @@
-//! What targets' answers say of the targets: that they leave, or want nothing for a time.
+//! Handles the notices in targets' answers: that a target is leaving, or requests a back-off.
 
 use std::collections::BTreeSet;
 
@@ -12,29 +12,29 @@
 };
 
 impl EntryCore {
-    /// A target's answer to a request says something of the target. Its arbiter hears of it with the end of the request's
-    /// slot; that it leaves, all VMs hear at once.
+    /// Handles the notices in an answer to a request. The target's arbiter receives them with the
+    /// release of the request's slot; a notice of leaving is sent to all VMs at once.
     pub(crate) fn target_said(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         target: TargetKey,
-        word: TargetWord,
+        notice: TargetWord,
         effects: &mut EffectBuffer,
     ) {
-        self.notices.push(Notice::TargetSaid { sequence, target, word });
+        self.notices.push(Notice::TargetSaid { sequence, target, word: notice });
         if let Some(record) = self.requests.get_mut(sequence) {
-            record.word = word;
+            record.word = notice;
         }
-        self.note_limit(now, sequence, target, word.limit, effects);
-        if word.leaving && self.words.note(now, target) {
-            self.note_leaving(target);
+        self.note_limit(now, sequence, target, notice.limit, effects);
+        if notice.leaving && self.words.note(now, target) {
+            self.mark_leaving(target);
             self.tell_words(now, effects);
         }
     }
 
-    /// Takes back what targets have said of which the platform's list has told since that they are gone and back, or that
-    /// they stay: a target keeps its name when it starts again.
+    /// Drops the notices of targets that the platform's list has since shown as gone and back
+    /// again, or as staying: a target keeps its name when it restarts.
     pub(crate) fn take_back_words(
         &mut self,
         listed: &BTreeSet<TargetKey>,
@@ -44,59 +44,61 @@
             self.leaving_targets.contains(key) || self.unlisted_words.contains(key)
         };
         let stays = |key: &TargetKey| listed.contains(key) && !leaving.contains(key);
-        let back: Vec<TargetKey> =
+        let returned: Vec<TargetKey> =
             self.words.all().into_iter().filter(|key| stays(key) && was_away(key)).collect();
-        for target in back {
+        for target in returned {
             self.words.forget(target);
             for arbiter in self.arbiters.values_mut() {
                 arbiter.note_leaving(target, false, &mut self.notices);
             }
         }
-        let words = self.words.all().into_iter();
-        self.unlisted_words = words.filter(|key| !listed.contains(key)).collect();
+        let announced = self.words.all().into_iter();
+        self.unlisted_words = announced.filter(|key| !listed.contains(key)).collect();
     }
 
-    /// Forgets words that are too old. The target is asked again then, and says it again if it still leaves.
+    /// Drops expired notices. The target gets requests again then, and repeats its notice if it is
+    /// still leaving.
     pub(crate) fn age_words(&mut self, now: Moment) {
-        let mut old = self.words.age(now);
-        old.retain(|key| !self.leaving_targets.contains(key));
-        for target in old {
+        let mut expired = self.words.age(now);
+        expired.retain(|key| !self.leaving_targets.contains(key));
+        for target in expired {
             for arbiter in self.arbiters.values_mut() {
                 arbiter.note_leaving(target, false, &mut self.notices);
             }
         }
     }
 
-    /// Takes what a peer tells of targets that leave.
+    /// Records peers' reports of leaving targets.
     pub(crate) fn take_words(&mut self, now: Moment, marks: &[LeavingMark]) {
         for mark in marks {
             if self.words.take(now, *mark) {
-                self.note_leaving(mark.target);
+                self.mark_leaving(mark.target);
             }
         }
     }
 
-    fn note_leaving(&mut self, target: TargetKey) {
+    fn mark_leaving(&mut self, target: TargetKey) {
         for arbiter in self.arbiters.values_mut() {
             arbiter.note_leaving(target, true, &mut self.notices);
         }
     }
 
-    /// Tells all peers which targets have said that they leave, where the platform's list does not.
+    /// Sends to all peers which targets have announced that they are leaving, where the platform's
+    /// list does not say so.
     pub(crate) fn tell_words(&mut self, now: Moment, effects: &mut EffectBuffer) {
         let known = self.targets_of_catalog();
-        let unsure = known.iter().copied().filter(|key| !self.leaving_targets.contains(key));
-        let told = self.words.told(now, unsure);
-        if told.is_empty() {
+        let unregistered = known.iter().copied().filter(|key| !self.leaving_targets.contains(key));
+        let reports = self.words.told(now, unregistered);
+        if reports.is_empty() {
             return;
         }
         for peer in self.peers.iter() {
-            let message = PeerMessage::Leaving(told.clone());
+            let message = PeerMessage::Leaving(reports.clone());
             effects.push(Effect::Send { to: peer.name.clone(), message });
         }
     }
 
-    /// Returns whether a target leaves, by the platform's list or its own word.
+    /// Returns whether a target is leaving, by the platform's list or its own notice.
     pub(crate) fn is_leaving(&self, target: TargetKey) -> bool {
         self.leaving_targets.contains(&target) || self.words.holds(target)
     }
--- a/crates/ryetide-core/src/ids.rs
+++ b/crates/ryetide-core/src/ids.rs
@@ -1,7 +1,7 @@
-//! Identities: names as operators write them, and the short keys that stand for them on the wire.
+//! Identifiers: names as operators write them, and the short keys that stand for them on the wire.
 //!
-//! A key is a 32-bit hash of a name, so that it means the same service or target under every
-//! revision of the services text. The text is refused when two of its names share a key.
+//! A key is a 32-bit hash of a name, so that it denotes the same service or target under every
+//! revision of the services text. A services text with two names that have the same key is refused.
 
 use std::fmt;
 
@@ -42,11 +42,12 @@
     ServiceName
 );
 name_type!(
-    /// The name of a target: one replica of a service.
+    /// The name of a target, which is one replica of a service.
     TargetName
 );
 name_type!(
-    /// The name of a version of the software that a service's targets run; empty where the registry does not tell.
+    /// The name of the version of a service that a target runs; empty where the registry does not
+    /// name it.
     VersionName
 );
 name_type!(
@@ -73,48 +74,48 @@
 }
 
 key_type!(
-    /// Stands for a service on the wire.
+    /// The key of a service, which stands for it on the wire.
     ServiceKey of ServiceName
 );
 key_type!(
-    /// Stands for a target on the wire.
+    /// The key of a target, which stands for it on the wire.
     TargetKey of TargetName
 );
 key_type!(
-    /// Stands for an organisation on the wire.
+    /// The key of an organisation, which stands for it on the wire.
     OrganisationKey of OrganisationName
 );
 key_type!(
-    /// Stands for a version of a service on the wire.
+    /// The key of a version of a service, which stands for it on the wire.
     VersionKey of VersionName
 );
 key_type!(
-    /// Stands for a data centre on the wire.
+    /// The key of a data centre, which stands for it on the wire.
     DataCentreKey of DataCentreName
 );
 
 number_type!(
-    /// Stands for a route on the wire.
+    /// The key of a route, which stands for it on the wire.
     RouteKey(u32)
 );
 
 impl RouteKey {
-    /// Returns the key of the route of this name.
+    /// Returns the key of the route `name`.
     pub fn of(name: &str) -> Self {
         Self(xxh3::xxh3_64(name.as_bytes()) as u32)
     }
 }
 
 number_type!(
-    /// Which life of a target this is: when it started, in Unix milliseconds; 0 where its registry does not tell.
-    /// Only compared: a later life has a higher number.
+    /// The incarnation of a target: its start time in Unix milliseconds; 0 where the registry does
+    /// not name it. It is only compared: a later incarnation has a higher number.
     TargetLife(u64)
 );
 
 impl TargetKey {
-    /// Returns the key of one life of a target. A target that starts again under its old name is another target
-    /// to everything that goes by keys: what was learnt of its earlier life, and what peers still say of it, is
-    /// not taken for the new one's.
+    /// Returns the key of one incarnation of a target. A target that restarts under its old name is
+    /// a different target to everything that goes by keys, so that what is known of its earlier
+    /// incarnation, and what peers still report of it, is not applied to the new one.
     pub fn of_life(name: &TargetName, life: TargetLife) -> Self {
         if life == TargetLife::default() {
             return Self::of(name);
@@ -124,7 +125,7 @@
 }
 
 number_type!(
-    /// One life of one entry VM's process, drawn at random when it starts.
+    /// The incarnation of an entry VM's process: a random number, drawn at its start.
     Incarnation(u64)
 );
 number_type!(
@@ -136,15 +137,15 @@
     AttemptNumber(u32)
 );
 number_type!(
-    /// Ties an answer of the table service to the command it belongs to.
+    /// Matches a reply of the table service to the command that it answers.
     TableToken(u64)
 );
 number_type!(
-    /// Names one operator's edit, so that its outcome can be found after a lost answer.
+    /// Identifies one operator's edit, so that its outcome can be found when the reply is lost.
     OperationId(u64)
 );
 
-/// The identity of a request: only the incarnation that minted it may dispatch it.
+/// The identity of a request: only the incarnation that assigned it may dispatch it.
 ///
 /// # Example
 ///
@@ -161,11 +162,11 @@
 /// ```
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct RequestId {
-    /// The entry VM that holds the caller.
+    /// The entry VM that received the request from its caller.
     pub vm: VmName,
-    /// The life of that VM's process in which the request arrived.
+    /// The incarnation of that VM's process in which the request arrived.
     pub incarnation: Incarnation,
-    /// The request's number in that life.
+    /// The request's number in the incarnation.
     pub sequence: RequestSequence,
 }
 
@@ -200,11 +201,11 @@
     }
 }
 
-/// A service in one data centre: the unit whose targets one arbiter orders.
+/// A service in one data centre: one arbiter orders the requests for its targets.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct ScopeKey {
     /// The service.
     pub service: ServiceKey,
-    /// The data centre its targets stand in.
+    /// The data centre of its targets.
     pub data_centre: DataCentreKey,
 }
--- a/crates/ryetide-core/src/json_form.rs
+++ b/crates/ryetide-core/src/json_form.rs
@@ -1,16 +1,16 @@
-//! The JSON form of our own values.
+//! Encodes this crate's own values as JSON.
 
 use serde::Serialize;
 
-/// Returns the JSON form of a value of our own.
+/// Returns a value as JSON text.
 ///
-/// Rows, frames and bodies are made of structures whose keys are texts, so they always have one. An
-/// empty text in its place would be worse than the end of the process: written as a row, it would
-/// put a configuration or a claim out of the world.
+/// Rows, frames and bodies consist of structures with strings as keys, so encoding them cannot
+/// fail. A panic is better than an empty text in place of the value: written to a row, the empty
+/// text would destroy a configuration or a claim.
 ///
 /// # Panics
 ///
-/// When the value has no JSON form, such as a map whose keys are structures.
+/// Panics when the value cannot be encoded, such as a map whose keys are structures.
 ///
 /// # Example
 ///
@@ -18,5 +18,5 @@
 /// assert_eq!(ryetide_core::json_form::encode(&[1, 2]), "[1,2]");
 /// ```
 pub fn encode(value: &impl Serialize) -> String {
-    serde_json::to_string(value).expect("structures with texts for keys have a JSON form")
+    serde_json::to_string(value).expect("a structure with strings as keys can be encoded as JSON")
 }
--- a/crates/ryetide-core/src/lib.rs
+++ b/crates/ryetide-core/src/lib.rs
@@ -1,43 +1,45 @@
 //! The decision core of ryetide: a pure, deterministic state machine.
 //!
-//! Ryetide schedules requests onto unlike engines. Each entry VM runs one [`entry::EntryCore`],
-//! which is told what happened ([`event::Event`]) and says what to do ([`effect::Effect`]). Nothing in
-//! this crate opens a socket, reads a clock, starts a thread, writes a log or draws unseeded
-//! randomness, so the daemon, the scripted scenarios, the fault matrix and the fuzzers all drive the
-//! same code, and a recorded run replays.
+//! Ryetide schedules requests onto heterogeneous engines. Each entry VM runs one
+//! [`entry::EntryCore`], which receives events ([`event::Event`]) and returns effects
+//! ([`effect::Effect`]) for the daemon to carry out. Nothing in this crate opens a socket, reads a
+//! clock, starts a thread, writes a log or draws unseeded randomness, so the daemon, the scripted
+//! scenarios, the fault matrix and the fuzzers all drive the same code, and a recorded run can be
+//! replayed.
 //!
-//! # What keeps the promises
+//! # Guarantees
 //!
-//! * **At most one dispatch.** [`request`] holds each request's state, which moves only along the
+//! * **At most one dispatch.** [`request`] holds each request's state, which changes only along the
 //!   chart in `charts/request.yaml`; `dispatching` is entered once, before the first byte.
-//! * **Urgent before routine.** One [`arbiter`] orders each service's targets in a data centre with a
-//!   [`queue`] that is strict between tiers and fair between organisations.
-//! * **At most one run over a caller's repeats.** [`claim`] holds idempotency keys in the platform's
+//! * **Urgent before routine.** One [`arbiter`] orders the requests for each service's targets in a
+//!   data centre with a [`queue`] that is strict between tiers and fair between organisations.
+//! * **At most one run for a caller's retries.** [`claim`] stores idempotency keys in the platform's
 //!   table service.
-//! * **Configuration never reverts.** [`configuration`] accepts an edit by compare-and-swap and takes
-//!   only higher revisions.
+//! * **Configuration never reverts.** [`configuration`] accepts an edit by compare-and-swap and
+//!   applies only higher revisions.
 //!
 //! # Contents
 //!
-//! | module | what it is |
+//! | modules | contents |
 //! |---|---|
 //! | [`entry`] | the core: `step(now, event)` pushes effects |
 //! | [`event`], [`effect`], [`message`] | events, effects, and the messages between entry VMs |
 //! | [`chart`] | state charts, read from files and interpreted |
-//! | [`text`], [`catalog`] | operators' YAML with every fault found; the services text |
-//! | [`arbiter`], [`verdict`], [`queue`], [`estimate`], [`affinity`], [`retry`] | order and placement |
-//! | [`membership`] | peers, and who arbitrates what |
-//! | [`claim`], [`configuration`], [`request`] | what must not go wrong |
+//! | [`text`], [`catalog`] | parsing of operators' YAML, with all errors reported at once; the services text |
+//! | [`arbiter`], [`verdict`], [`queue`], [`estimate`], [`affinity`], [`retry`] | order, admission and placement of requests for a service |
+//! | [`membership`] | the peers, and which VM arbitrates a service |
+//! | [`claim`], [`configuration`], [`request`] | the state behind the guarantees |
 //! | [`request_print`], [`crash_ledger`], [`crash_blame`] | requests that crash targets |
-//! | [`route`], [`route_text`], [`quota`], [`quota_desk`], [`retry_budget`], [`comeback_time`] | routed requests: where they go, what they may cost |
-//! | [`rollout_order`], [`rollout_desk`], [`service_rollout`], [`rollout_evidence`], [`rollout_judge`] | new versions of a service: what they may get, whether they are good, who says so |
-//! | [`scheduler`], [`scheduler_options`], [`line_view`], [`wait_line`], [`recent_arrivals`], [`deadline_habit`], [`decision`] | the order and refusal of routed requests |
-//! | [`placing`], [`target_load`], [`target_health`], [`pace`], [`prompt_memory`] | where they are placed |
-//! | [`load_digest`], [`peer_board`], [`cell_plan`], [`digest_pace`], [`digest_route`], [`target_registry`], [`target_word`] | what entry VMs tell each other, which targets there are, and what those say of themselves |
-//! | [`target_limit`], [`limit_part`] | how much targets in need take, and which part of that a VM may send |
-//! | [`watch_duty`], [`era_version`] | which of them ask the source of routes and targets, and how its versions compare |
+//! | [`route`], [`route_text`], [`quota`], [`quota_desk`], [`retry_budget`], [`comeback_time`] | routed requests: their routes, quotas and retries |
+//! | [`rollout_order`], [`rollout_desk`], [`service_rollout`], [`rollout_evidence`], [`rollout_judge`] | rollouts of new versions: their traffic, evaluation and outcome |
+//! | [`scheduler`], [`scheduler_options`], [`line_view`], [`wait_line`], [`recent_arrivals`], [`deadline_habit`], [`decision`] | queueing and refusal of routed requests |
+//! | [`placing`], [`target_load`], [`target_health`], [`pace`], [`prompt_memory`] | placement of routed requests |
+//! | [`load_digest`], [`peer_board`], [`cell_plan`], [`digest_pace`], [`digest_route`] | load reports between entry VMs |
+//! | [`target_registry`], [`target_word`] | the existing targets, and the notices in their answers |
+//! | [`target_limit`], [`limit_part`] | request rate limits that targets announce, and each VM's share of them |
+//! | [`watch_duty`], [`era_version`] | which VMs watch the source of routes and targets, and how its versions compare |
 //! | [`safeguard`] | switches that let tests show what each safeguard prevents |
-//! | [`ids`], [`units`], [`json_form`] | newtypes, and the form in which values are written down |
+//! | [`ids`], [`units`], [`json_form`] | newtypes, and the JSON encoding of values |
 
 pub mod affinity;
 pub mod arbiter;
--- a/crates/ryetide-core/src/safeguard.rs
+++ b/crates/ryetide-core/src/safeguard.rs
@@ -1,10 +1,10 @@
-//! Switches that turn single safeguards off, so that tests can show what each one prevents.
+//! Switches that turn off single safeguards, so that tests can show what each one prevents.
 //!
-//! All are on by default, and no setting of the daemon reaches them.
+//! All safeguards are on by default, and no setting of the daemon turns one off.
 
 use serde::{Deserialize, Serialize};
 
-/// Defines the switches together with the list of their names.
+/// Defines the switches and the list of their names.
 macro_rules! safeguard_switches {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
         /// The safeguards of the core; a mutation test turns off one at a time.
@@ -21,7 +21,7 @@
             /// The names of all switches.
             pub const NAMES: &'static [&'static str] = &[$(stringify!($name)),*];
 
-            /// Returns the switches with the named one turned off, or nothing for an unknown name.
+            /// Returns the switches with `name` turned off; none for an unknown name.
             pub fn without(name: &str) -> Option<Self> {
                 let mut switches = Self::default();
                 match name {
@@ -35,13 +35,14 @@
 }
 
 safeguard_switches! {
-    /// A broken stream is resumed by request id; off, the request is dispatched again.
+    /// A broken stream is resumed by request id; without this, the request is dispatched again.
     resume_only,
-    /// Deadline, leaving and revision are looked at again right before the first byte.
+    /// The deadline, whether the target is leaving, and the revision are checked again right before
+    /// the first byte.
     permit_recheck,
-    /// A piece that overlaps or leaves a gap is trimmed or asked for again.
+    /// Overlapping pieces of an answer are trimmed, and missing ones are requested again.
     offset_check,
-    /// An answer ends only when every byte up to its length was passed on.
+    /// An answer ends only when every byte up to its length has been relayed.
     length_check,
     /// A refusal counts as "not run" only where the target's contract says so.
     refusal_contract,
@@ -49,22 +50,23 @@
     claim_first,
     /// A claim whose holder may still dispatch is never taken over.
     claim_kept,
-    /// A lost answer to a claim's write is settled by writing again before anything runs.
+    /// When the reply to a claim's write is lost, the write is repeated before anything runs.
     claim_settled,
     /// Only a higher revision replaces the one in force.
     revision_rises,
-    /// A lost answer to an edit's write is settled under the same operation id.
+    /// When the reply to an edit's write is lost, the write is repeated under the same operation
+    /// id.
     edit_settled,
     /// A higher tier is served and kept before a lower one.
     tier_order,
-    /// When a request is shed for load, everything waiting in lower tiers is shed with it.
+    /// When a request is shed for load, all waiting requests of lower tiers are shed with it.
     shed_below_first,
-    /// A target that is leaving is granted to nobody.
+    /// A leaving target gets no grants.
     leaving_respected,
-    /// A shutdown waits for what runs.
+    /// A shutdown waits for running requests.
     drain_waits,
-    /// Replies for an earlier life of this VM are dropped.
+    /// Replies for an earlier incarnation of this VM are dropped.
     life_check,
-    /// Silence after the dispatch is met by resuming, within a bound.
+    /// When a target is silent after the dispatch, the request is resumed within a time limit.
     silence_bound,
 }
--- a/crates/ryetide-core/src/target_limit.rs
+++ b/crates/ryetide-core/src/target_limit.rs
@@ -1,7 +1,8 @@
-//! What targets have said of their limits, and what VMs tell each other of it.
+//! The request rate limits that targets announce, and the reports on them between VMs.
 //!
-//! A target in need names in its answers how many requests a second it takes from all VMs together, for as long as it says
-//! so. The VM that hears it tells the others, with the time since; what was said last holds.
+//! An overloaded target announces in its answers how many requests a second it accepts from all VMs
+//! together, for as long as the limit applies. The VM that receives the announcement reports it to
+//! the others with its age. The latest announcement is in force.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,33 +14,34 @@
     units::{Moment, RequestRate},
 };
 
-/// That a target has ceased to name a limit is remembered for this long: until no VM tells of the limit any more.
-const LIFTED_LIFE: Duration = Duration::from_secs(60);
-/// A limit is remembered for this long after the target was last known to exist.
-const ABSENT_LIFE: Duration = Duration::from_secs(600);
-/// Targets of which something is remembered; what was said longest ago yields.
-const NOTES_LIMIT: usize = 1_024;
-/// Targets of which a digest tells, those that spoke last.
-const TOLD_LIMIT: usize = 64;
+/// How long the end of a limit is remembered: until no VM reports the limit any more.
+const LIFTED_TTL: Duration = Duration::from_secs(60);
+/// How long a limit is remembered after the last announcement of a target that no longer exists.
+const ABSENT_TARGET_TTL: Duration = Duration::from_secs(600);
+/// The number of targets whose announcements are remembered; beyond it the oldest announcement is
+/// dropped.
+const RECORDS_LIMIT: usize = 1_024;
+/// The number of targets in a digest, those with the latest announcements.
+const REPORTED_LIMIT: usize = 64;
 
-/// What a target has said last of its limit, as VMs tell each other.
+/// A target's latest announcement of its limit, as VMs report it to each other.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct LimitMark {
     /// The target.
     pub target: TargetKey,
-    /// What it takes; nothing when it names no limit any more.
+    /// The requests a second that the target accepts; none when it announces no limit any more.
     pub rate: Option<RequestRate>,
-    /// How long ago it said so, in milliseconds.
+    /// The age of the announcement, in milliseconds.
     pub age_ms: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct LimitNote {
+struct LimitRecord {
     rate: Option<RequestRate>,
-    said: Moment,
+    announced_at: Moment,
 }
 
-/// What targets have said last of their limits.
+/// The latest announced limits of all targets.
 ///
 /// # Example
 ///
@@ -52,85 +54,95 @@
 /// };
 ///
 /// let (target, at) = (TargetKey::of(&"t1".into()), Moment::from_millis);
-/// let mut book = LimitBook::default();
-/// assert!(book.note(at(20), target, LimitWord::Named(RequestRate(1_900)), at(10)));
-/// assert_eq!(book.rate(target), Some(RequestRate(1_900)));
-/// // The answer to a request that was sent before the limit was named does not end it.
-/// assert!(!book.note(at(30), target, LimitWord::Unnamed, at(15)));
-/// assert!(book.note(at(50), target, LimitWord::Unnamed, at(40)));
-/// assert_eq!(book.rate(target), None);
+/// let mut table = LimitBook::default();
+/// assert!(table.note(at(20), target, LimitWord::Named(RequestRate(1_900)), at(10)));
+/// assert_eq!(table.rate(target), Some(RequestRate(1_900)));
+/// // The answer to a request that was sent before the announcement does not end the limit.
+/// assert!(!table.note(at(30), target, LimitWord::Unnamed, at(15)));
+/// assert!(table.note(at(50), target, LimitWord::Unnamed, at(40)));
+/// assert_eq!(table.rate(target), None);
 /// ```
 #[derive(Debug, Default)]
 pub struct LimitBook {
-    notes: BTreeMap<TargetKey, LimitNote>,
+    records: BTreeMap<TargetKey, LimitRecord>,
 }
 
 impl LimitBook {
-    /// Notes what an answer says, of which the request was sent at `asked`. Returns whether another limit holds now.
+    /// Records what an answer says about its target's limit. The request was sent at `sent_at`.
+    /// Returns whether the limit in force has changed.
     ///
-    /// An answer without a limit ends one only if it was asked for after the limit was heard: answers on several
-    /// connections overtake each other.
-    pub fn note(&mut self, now: Moment, target: TargetKey, word: LimitWord, asked: Moment) -> bool {
-        let known = self.notes.get(&target);
-        let rate = match word {
+    /// An answer without a limit ends a limit only if its request was sent after the limit was
+    /// received, because answers on several connections can overtake each other.
+    pub fn note(
+        &mut self,
+        now: Moment,
+        target: TargetKey,
+        notice: LimitWord,
+        sent_at: Moment,
+    ) -> bool {
+        let known = self.records.get(&target);
+        let rate = match notice {
             LimitWord::Named(rate) => Some(rate),
-            LimitWord::Unnamed if known.is_some_and(|note| asked > note.said) => None,
+            LimitWord::Unnamed if known.is_some_and(|record| sent_at > record.announced_at) => None,
             LimitWord::Unnamed | LimitWord::Unreadable => return false,
         };
-        self.insert(target, LimitNote { rate, said: now })
+        self.insert(target, LimitRecord { rate, announced_at: now })
     }
 
-    /// Takes what a peer tells. Returns whether another limit holds now.
+    /// Records a peer's report. Returns whether the limit in force has changed.
     pub fn take(&mut self, now: Moment, mark: LimitMark) -> bool {
-        let said = now.before(Duration::from_millis(u64::from(mark.age_ms)));
-        let is_newer = self.notes.get(&mark.target).is_none_or(|note| said > note.said);
-        is_newer && self.insert(mark.target, LimitNote { rate: mark.rate, said })
+        let announced_at = now.before(Duration::from_millis(u64::from(mark.age_ms)));
+        let is_newer =
+            self.records.get(&mark.target).is_none_or(|record| announced_at > record.announced_at);
+        is_newer && self.insert(mark.target, LimitRecord { rate: mark.rate, announced_at })
     }
 
-    fn insert(&mut self, target: TargetKey, note: LimitNote) -> bool {
-        let before = self.notes.insert(target, note).and_then(|before| before.rate);
-        if self.notes.len() > NOTES_LIMIT {
-            let oldest = self.notes.iter().min_by_key(|(_, note)| note.said);
+    fn insert(&mut self, target: TargetKey, record: LimitRecord) -> bool {
+        let before = self.records.insert(target, record).and_then(|before| before.rate);
+        if self.records.len() > RECORDS_LIMIT {
+            let oldest = self.records.iter().min_by_key(|(_, record)| record.announced_at);
             if let Some(oldest) = oldest.map(|(target, _)| *target) {
-                self.notes.remove(&oldest);
+                self.records.remove(&oldest);
             }
         }
-        before != note.rate
+        before != record.rate
     }
 
-    /// Returns whether nothing is known of any target.
+    /// Returns whether no limit is known.
     pub fn is_empty(&self) -> bool {
-        self.notes.is_empty()
+        self.records.is_empty()
     }
 
-    /// Returns the limit that a target has named.
+    /// Returns the limit that a target has announced.
     pub fn rate(&self, target: TargetKey) -> Option<RequestRate> {
-        self.notes.get(&target)?.rate
+        self.records.get(&target)?.rate
     }
 
-    /// Returns the targets that have named a limit.
+    /// Returns the targets that have announced a limit.
     pub fn limited(&self) -> impl Iterator<Item = (TargetKey, RequestRate)> {
-        self.notes.iter().filter_map(|(target, note)| Some((*target, note.rate?)))
+        self.records.iter().filter_map(|(target, record)| Some((*target, record.rate?)))
     }
 
-    /// Returns what peers are told.
+    /// Returns the reports for peers.
     pub fn told(&self, now: Moment) -> Vec<LimitMark> {
-        let mut notes: Vec<(&TargetKey, &LimitNote)> = self.notes.iter().collect();
-        notes.sort_by_key(|(_, note)| std::cmp::Reverse(note.said));
-        let mark = |(target, note): (&TargetKey, &LimitNote)| {
-            let age_ms = u32::try_from(now.since(note.said).as_millis()).unwrap_or(u32::MAX);
-            LimitMark { target: *target, rate: note.rate, age_ms }
+        let mut records: Vec<(&TargetKey, &LimitRecord)> = self.records.iter().collect();
+        records.sort_by_key(|(_, record)| std::cmp::Reverse(record.announced_at));
+        let mark = |(target, record): (&TargetKey, &LimitRecord)| {
+            let age_ms =
+                u32::try_from(now.since(record.announced_at).as_millis()).unwrap_or(u32::MAX);
+            LimitMark { target: *target, rate: record.rate, age_ms }
         };
-        notes.into_iter().take(TOLD_LIMIT).map(mark).collect()
+        records.into_iter().take(REPORTED_LIMIT).map(mark).collect()
     }
 
-    /// Forgets what is too old. The limit of a target that there is holds until the target says otherwise: forgotten
-    /// everywhere at one time, it would have to be found out by every VM at once.
+    /// Drops expired announcements. The limit of an existing target stays in force until the target
+    /// announces otherwise: if all VMs dropped it at the same time, each of them would exceed it
+    /// until it received the limit again.
     pub fn age(&mut self, now: Moment, exists: impl Fn(TargetKey) -> bool) {
-        self.notes.retain(|target, note| match note.rate {
+        self.records.retain(|target, record| match record.rate {
             Some(_) if exists(*target) => true,
-            Some(_) => now.since(note.said) < ABSENT_LIFE,
-            None => now.since(note.said) < LIFTED_LIFE,
+            Some(_) => now.since(record.announced_at) < ABSENT_TARGET_TTL,
+            None => now.since(record.announced_at) < LIFTED_TTL,
         });
     }
 }
--- a/crates/ryetide-core/src/target_registry.rs
+++ b/crates/ryetide-core/src/target_registry.rs
@@ -1,9 +1,10 @@
-//! Which targets there are, from a registry whose entries lapse.
+//! The targets that exist, by a registry whose entries lapse.
 //!
-//! Targets keep their entries alive by writing to the platform's store. While the store is away they
-//! cannot, and after its return entries may be missing of targets that live: they come back within
-//! about two seconds. An entry that goes missing until then is therefore kept; at any other time a
-//! missing entry is a target that is gone.
+//! Targets keep their entries alive by writing to the platform's store. During an outage of the
+//! store they cannot, and after it entries of live targets may be missing until the targets write
+//! them again, which takes about two seconds. An entry that goes missing in this period is
+//! therefore kept for a grace period. At any other time a missing entry means that the target is
+//! gone.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,64 +15,69 @@
     units::Moment,
 };
 
-/// How long after its source's return an entry that is missing may be of a target that lives: the targets write
-/// themselves in again within two seconds, and a VM finds the source back some tenths of a second after its return.
+/// The grace period after the source's recovery, within which a missing entry may belong to a live
+/// target. Targets write their entries again within two seconds, and a VM notices the recovery some
+/// tenths of a second late.
 ///
-/// The doubt ends at one moment, whenever a VM hears of a missing entry. Counted from the hearing instead, it added
-/// to the pause of the VM that had read of the end and passed it on, and a target that had left without a word got
-/// new work 3.06 s after its entry's end, where 3 s are permitted. Who comes back from a cut knows the source again
-/// within about a second, so the doubt is over before the cut has ceased to be an excuse, 3 s after its end.
+/// The period ends at the same moment for every VM, however late it learns of a missing entry. A
+/// period that began when a VM learns of the missing entry would add to the delay of the VM that
+/// had read and forwarded it, and a target that left without notice would get new requests for more
+/// than the 3 s that are permitted after the end of its entry. A VM that was cut off reaches the
+/// source again within about a second, so its period ends within the 3 s after the cut in which
+/// late removals are still permitted.
 pub const DOUBT_SPAN: Duration = Duration::from_millis(1_600);
-/// Names whose last life is remembered, at some 60 bytes each. Names come and go for as long as a VM runs; beyond
-/// this only those of the targets that there are stay.
-const LIVES_LIMIT: usize = 4_096;
+/// The number of target names whose last incarnation is remembered, at some 60 bytes each. Names
+/// come and go for as long as a VM runs; beyond this number only those of existing targets are
+/// kept.
+const INCARNATIONS_LIMIT: usize = 4_096;
 
-/// Targets that have gone lately are remembered for this long, which is longer than a copy of the source is old.
-const GONE_LIFE: Duration = Duration::from_secs(60);
-/// For how long an entry that a copy has brought back is passed over: within this time a target that lives has written it
-/// again, or changed it, and that of one that is gone has lapsed.
-const GHOST_SPAN: Duration = Duration::from_secs(10);
-/// Targets that have gone which are remembered; the one that went first yields.
-const GONE_LIMIT: usize = 1_024;
+/// How long a removed target is remembered. This is longer than the age of a copy from which the
+/// source is restored.
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
+/// How long entries that a restored copy brings back are ignored. Within this time a live target
+/// has written its entry again or changed it, and the entry of one that is gone has lapsed.
+const RESTORED_ENTRY_SPAN: Duration = Duration::from_secs(10);
+/// The number of removed targets that are remembered; beyond it the oldest is dropped.
+const REMOVED_LIMIT: usize = 1_024;
 
-/// What a registry's source says.
+/// An update from the registry's source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RegistryUpdate {
-    /// All entries there are.
+    /// All existing entries.
     Snapshot {
-        /// Those that can be read.
+        /// The readable entries.
         entries: Vec<TargetEntry>,
-        /// Names of those that cannot.
+        /// The names of unreadable entries.
         unreadable: Vec<TargetName>,
     },
-    /// Entries that are new or changed, and names whose entries are gone.
+    /// Changed entries, and the names of removed ones.
     Changed {
         /// New or changed entries.
         entries: Vec<TargetEntry>,
-        /// Entries that are gone.
+        /// The names of removed entries.
         gone: Vec<TargetName>,
-        /// Names of changed entries that cannot be read.
+        /// The names of changed entries that are unreadable.
         unreadable: Vec<TargetName>,
     },
-    /// The source cannot be read.
+    /// The source became unreachable.
     SourceLost,
-    /// The source can be read again.
+    /// The source is reachable again.
     SourceBack,
-    /// The source was lost by the peer that passes news on: for this long yet, entries may be missing of targets
-    /// that live.
+    /// The peer that forwards updates has recovered from a loss of the source: for this much
+    /// longer, missing entries may belong to live targets.
     SourceDoubtful(Duration),
-    /// The source has come back from a copy some seconds old. What it tells next may be from before what is known, until
-    /// the targets have written their entries again.
+    /// The source was restored from a copy that is some seconds old. Its next updates may be older
+    /// than what is known, until the targets have written their entries again.
     SourceRestored,
 }
 
 impl RegistryUpdate {
-    /// Returns the news that these entries are all there are.
+    /// Returns an update that holds all entries.
     pub fn whole(entries: Vec<TargetEntry>) -> Self {
         Self::Snapshot { entries, unreadable: Vec::new() }
     }
 
-    /// Returns the news that these entries are new or changed.
+    /// Returns an update that holds these new or changed entries.
     pub fn changed(entries: Vec<TargetEntry>) -> Self {
         Self::Changed { entries, gone: Vec::new(), unreadable: Vec::new() }
     }
@@ -80,10 +86,10 @@
 #[derive(Clone, Debug)]
 struct RegisteredTarget {
     entry: TargetEntry,
-    lapses_at: Option<Moment>,
+    grace_end: Option<Moment>,
 }
 
-/// The targets as they are believed to be.
+/// The known targets.
 ///
 /// # Example
 ///
@@ -99,31 +105,31 @@
 #[derive(Debug, Default)]
 pub struct TargetRegistry {
     targets: BTreeMap<TargetName, RegisteredTarget>,
-    /// The last life that was seen of each name, also of targets that are gone.
-    lives: BTreeMap<TargetName, TargetLife>,
-    /// Targets that have said that they leave.
-    words: LeavingWords,
-    /// Targets that have gone lately, and when.
-    gone: BTreeMap<TargetKey, Moment>,
-    /// Targets that had gone before the source came back from a copy, and until when what the copy says of them is
-    /// passed over.
-    ghosts: BTreeMap<TargetKey, Moment>,
+    /// The last known incarnation of each name, also of removed targets.
+    incarnations: BTreeMap<TargetName, TargetLife>,
+    /// Targets that have announced that they are leaving.
+    leaving_notices: LeavingWords,
+    /// Recently removed targets, and when they were removed.
+    removed: BTreeMap<TargetKey, Moment>,
+    /// Targets that were removed before the source was restored from a copy. Until the given
+    /// moment, entries of theirs in the copy are ignored.
+    ignored_until: BTreeMap<TargetKey, Moment>,
     known: bool,
     newest: u64,
     reached: u64,
-    lost: bool,
-    /// Until when missing entries may be of targets that live, because the source was away.
-    doubt_until: Option<Moment>,
+    is_lost: bool,
+    /// The end of the grace period after an outage of the source.
+    grace_until: Option<Moment>,
 }
 
 impl TargetRegistry {
-    /// Takes what the source says.
+    /// Applies an update from the source.
     pub fn take(&mut self, now: Moment, update: RegistryUpdate) {
         match update {
             RegistryUpdate::Snapshot { mut entries, unreadable } => {
                 self.known = true;
-                self.ghosts.retain(|_, until| now < *until);
-                entries.retain(|entry| !self.ghosts.contains_key(&entry.key()));
+                self.ignored_until.retain(|_, until| now < *until);
+                entries.retain(|entry| !self.ignored_until.contains_key(&entry.key()));
                 self.drop_unreadable(&unreadable);
                 let names: Vec<TargetName> =
                     entries.iter().map(|entry| entry.name.clone()).collect();
@@ -132,41 +138,42 @@
                 self.change(now, entries, &missing);
             }
             RegistryUpdate::Changed { entries, gone, unreadable } => {
-                // What has been written since is no copy.
+                // Entries written since the restore are not from the copy.
                 for entry in &entries {
-                    self.ghosts.remove(&entry.key());
+                    self.ignored_until.remove(&entry.key());
                 }
                 self.drop_unreadable(&unreadable);
                 self.change(now, entries, &gone);
             }
-            RegistryUpdate::SourceLost => self.lost = true,
+            RegistryUpdate::SourceLost => self.is_lost = true,
             RegistryUpdate::SourceBack => {
-                if std::mem::take(&mut self.lost) {
-                    self.doubt_for(now, DOUBT_SPAN);
+                if std::mem::take(&mut self.is_lost) {
+                    self.extend_grace(now, DOUBT_SPAN);
                 }
             }
-            RegistryUpdate::SourceDoubtful(left) => self.doubt_for(now, left.min(DOUBT_SPAN)),
-            RegistryUpdate::SourceRestored => self.distrust_copy(now),
+            RegistryUpdate::SourceDoubtful(left) => self.extend_grace(now, left.min(DOUBT_SPAN)),
+            RegistryUpdate::SourceRestored => self.prepare_for_copy(now),
         }
     }
 
-    /// Notes the number of the newest news that came.
+    /// Records the number of the newest change that was received.
     pub fn note_newest(&mut self, number: u64) {
         self.newest = self.newest.max(number);
     }
 
-    /// Notes the number up to which the source had no other news than those that came.
+    /// Records the number up to which the source has no changes that were not received.
     pub fn note_reached(&mut self, number: u64) {
         self.reached = self.reached.max(number);
     }
 
-    /// Returns the number up to which all news have come. It is ahead of [`TargetRegistry::newest`]
-    /// where the source has other things to number, and where an entry that is gone was never seen.
+    /// Returns the number up to which all changes have been received. It is ahead of
+    /// [`TargetRegistry::newest`] where the source numbers other things too, and where an entry was
+    /// removed that was never known here.
     pub fn reached(&self) -> u64 {
         self.reached.max(self.newest)
     }
 
-    /// Returns the number of the newest news that came, as the source numbers them.
+    /// Returns the number of the newest change that was received, as the source numbers changes.
     pub fn newest(&self) -> u64 {
         self.newest
     }
@@ -176,112 +183,118 @@
         self.known
     }
 
-    /// Returns the targets that there are, and drops those whose time is over.
+    /// Returns the existing targets, and drops those whose grace period is over.
     pub fn current(&mut self, now: Moment) -> Vec<TargetEntry> {
-        let lapsed = |target: &RegisteredTarget| target.lapses_at.is_some_and(|at| now >= at);
+        let is_over = |target: &RegisteredTarget| target.grace_end.is_some_and(|at| now >= at);
         let ended: Vec<RegisteredTarget> =
-            self.targets.extract_if(.., |_, target| lapsed(target)).map(|(_, it)| it).collect();
-        ended.iter().for_each(|target| self.note_gone(now, target.entry.key()));
-        self.words.age(now);
-        self.targets.values().map(|target| self.as_it_says(&target.entry)).collect()
+            self.targets.extract_if(.., |_, target| is_over(target)).map(|(_, it)| it).collect();
+        ended.iter().for_each(|target| self.record_removed(now, target.entry.key()));
+        self.leaving_notices.age(now);
+        self.targets.values().map(|target| self.with_announcement(&target.entry)).collect()
     }
 
-    /// Returns what targets have said in their answers, to note more of it.
+    /// Returns the announcements of leaving targets, for recording more of them.
     pub fn words_mut(&mut self) -> &mut LeavingWords {
-        &mut self.words
+        &mut self.leaving_notices
     }
 
-    /// Returns the targets that have said that they leave, and of which the source does not say it.
+    /// Returns the targets that have announced that they are leaving, and whose entries do not say
+    /// so.
     pub fn leaving_by_word(&self, now: Moment) -> Vec<LeavingMark> {
         let entries = self.targets.values().map(|target| &target.entry);
-        let unsure = entries.filter(|entry| !entry.leaving).map(TargetEntry::key);
-        self.words.told(now, unsure)
+        let unregistered = entries.filter(|entry| !entry.leaving).map(TargetEntry::key);
+        self.leaving_notices.told(now, unregistered)
     }
 
-    /// A reading of the source that is older than what the target has said does not take it back.
-    fn as_it_says(&self, entry: &TargetEntry) -> TargetEntry {
-        let leaving = entry.leaving || self.words.holds(entry.key());
+    /// Merges the announcement of a target into its entry. An entry that the source read before the
+    /// announcement does not revoke it.
+    fn with_announcement(&self, entry: &TargetEntry) -> TargetEntry {
+        let leaving = entry.leaving || self.leaving_notices.holds(entry.key());
         TargetEntry { leaving, ..entry.clone() }
     }
 
     /// Returns the targets that are kept though their entries are missing.
     pub fn kept(&self) -> impl Iterator<Item = &TargetName> {
-        let kept = self.targets.iter().filter(|(_, target)| target.lapses_at.is_some());
+        let kept = self.targets.iter().filter(|(_, target)| target.grace_end.is_some());
         kept.map(|(name, _)| name)
     }
 
-    /// Returns until when the last of the targets is kept whose entries are missing.
+    /// Returns when the last grace period of a target with a missing entry ends.
     pub fn last_lapse(&self) -> Option<Moment> {
-        self.targets.values().filter_map(|target| target.lapses_at).max()
+        self.targets.values().filter_map(|target| target.grace_end).max()
     }
 
-    /// Returns whether a later life of a target was seen: this one has ended, and whatever ran there with it.
+    /// Returns whether a later incarnation of a target is known: this one has ended, and all of its
+    /// requests with it.
     pub fn is_replaced(&self, entry: &TargetEntry) -> bool {
-        self.lives.get(&entry.name).is_some_and(|last| *last > entry.life)
+        self.incarnations.get(&entry.name).is_some_and(|last| *last > entry.life)
     }
 
-    /// Drops targets whose entries were overwritten with something that cannot be read. Such an entry names no
-    /// target: kept in use by its last readable one, a target whose place another writer has taken would get work
-    /// that nobody vouches for. No grace: the entry has not lapsed, it is there.
+    /// Drops targets whose entries were overwritten with something unreadable. Such an entry names
+    /// no target. If the target stayed in use by its last readable entry, requests would go to an
+    /// address that the registry no longer confirms. There is no grace period, because the entry
+    /// has not lapsed.
     fn drop_unreadable(&mut self, names: &[TargetName]) {
         self.targets.retain(|name, _| !names.contains(name));
     }
 
-    /// Remembers the life of an entry. Returns false for an entry of an earlier life, which comes late: taken, it
-    /// would bring back the address and the speed of a target that has ended.
-    fn note_life(&mut self, entry: &TargetEntry) -> bool {
+    /// Records the incarnation of an entry. Returns false for an entry of an earlier incarnation,
+    /// which is out of date: it would bring back the address and the speed of a target that has
+    /// ended.
+    fn record_incarnation(&mut self, entry: &TargetEntry) -> bool {
         if self.is_replaced(entry) {
             return false;
         }
-        self.lives.insert(entry.name.clone(), entry.life);
-        if self.lives.len() > LIVES_LIMIT {
+        self.incarnations.insert(entry.name.clone(), entry.life);
+        if self.incarnations.len() > INCARNATIONS_LIMIT {
             let targets = &self.targets;
-            self.lives.retain(|name, _| targets.contains_key(name) || *name == entry.name);
+            self.incarnations.retain(|name, _| targets.contains_key(name) || *name == entry.name);
         }
         true
     }
 
     fn change(&mut self, now: Moment, entries: Vec<TargetEntry>, gone: &[TargetName]) {
         for entry in entries {
-            if !self.note_life(&entry) {
+            if !self.record_incarnation(&entry) {
                 continue;
             }
-            let target = RegisteredTarget { entry, lapses_at: None };
+            let target = RegisteredTarget { entry, grace_end: None };
             self.targets.insert(target.entry.name.clone(), target);
         }
-        // While the source is lost only peers tell of entries that are gone.
-        let kept_until = if self.lost { Some(now + DOUBT_SPAN) } else { self.doubt_until };
-        let kept_until = kept_until.filter(|until| now < *until);
+        // While the source is unreachable, only peers report removed entries.
+        let grace_until = if self.is_lost { Some(now + DOUBT_SPAN) } else { self.grace_until };
+        let grace_until = grace_until.filter(|until| now < *until);
         for name in gone {
             let Some(target) = self.targets.get_mut(name) else { continue };
-            if kept_until.is_some() && !target.entry.leaving {
-                target.lapses_at = target.lapses_at.or(kept_until);
+            if grace_until.is_some() && !target.entry.leaving {
+                target.grace_end = target.grace_end.or(grace_until);
             } else if let Some(ended) = self.targets.remove(name) {
-                self.note_gone(now, ended.entry.key());
+                self.record_removed(now, ended.entry.key());
             }
         }
     }
 
-    /// A copy may tell of targets that have begun to leave, or have gone, that they take work.
-    fn distrust_copy(&mut self, now: Moment) {
+    /// Guards against a copy in which targets that have since begun to leave, or have gone, accept
+    /// requests.
+    fn prepare_for_copy(&mut self, now: Moment) {
         let leaving = self.targets.values().filter(|target| target.entry.leaving);
         for target in leaving {
-            self.words.note(now, target.entry.key());
+            self.leaving_notices.note(now, target.entry.key());
         }
-        let lately = self.gone.iter().filter(|(_, at)| now.since(**at) < GONE_LIFE);
-        self.ghosts.extend(lately.map(|(key, _)| (*key, now + GHOST_SPAN)));
+        let recent = self.removed.iter().filter(|(_, at)| now.since(**at) < REMOVED_RETENTION);
+        self.ignored_until.extend(recent.map(|(key, _)| (*key, now + RESTORED_ENTRY_SPAN)));
     }
 
-    fn note_gone(&mut self, now: Moment, target: TargetKey) {
-        self.gone.retain(|_, at| now.since(*at) < GONE_LIFE);
-        self.gone.insert(target, now);
-        if self.gone.len() > GONE_LIMIT {
-            let oldest = self.gone.iter().min_by_key(|(_, at)| **at).map(|(key, _)| *key);
-            oldest.and_then(|oldest| self.gone.remove(&oldest));
+    fn record_removed(&mut self, now: Moment, target: TargetKey) {
+        self.removed.retain(|_, at| now.since(*at) < REMOVED_RETENTION);
+        self.removed.insert(target, now);
+        if self.removed.len() > REMOVED_LIMIT {
+            let oldest = self.removed.iter().min_by_key(|(_, at)| **at).map(|(key, _)| *key);
+            oldest.and_then(|oldest| self.removed.remove(&oldest));
         }
     }
 
-    fn doubt_for(&mut self, now: Moment, span: Duration) {
-        self.doubt_until = self.doubt_until.max(Some(now + span));
+    fn extend_grace(&mut self, now: Moment, span: Duration) {
+        self.grace_until = self.grace_until.max(Some(now + span));
     }
 }
--- a/crates/ryetide-core/src/target_word.rs
+++ b/crates/ryetide-core/src/target_word.rs
@@ -1,8 +1,9 @@
-//! What targets say of themselves in their answers, beside what their registry tells.
+//! Notices that targets give about themselves in the headers of their answers.
 //!
-//! A target that leaves says so in the registry, and in each answer too. While the registry's source is away, or slow, only
-//! the answers tell; the VM that hears it first tells the others. A target that has said it goes on leaving, whatever
-//! an older entry of the registry says.
+//! A target that is leaving says so in the registry and in each answer. While the registry's source
+//! is unreachable or slow, the answers are the only way to learn of it, and the VM that receives
+//! the notice first forwards it to the others. A notice of leaving stays in force, whatever an
+//! older entry of the registry says.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,56 +14,58 @@
     units::{Moment, RequestRate},
 };
 
-/// A target's word is remembered for this long after it was said last, which is longer than targets take to leave. Where they
-/// keep their names when they start again, one that is back under its name gets work again after this time at the latest.
-const WORD_LIFE: Duration = Duration::from_secs(600);
-/// Words that are remembered; the oldest yields.
-const WORDS_LIMIT: usize = 1_024;
-/// Words that a digest tells.
-const TOLD_LIMIT: usize = 64;
-/// The longest time for which a target may say that it wants nothing. It keeps sums of times finite.
+/// How long a notice of leaving is remembered after it was last given. This is longer than targets
+/// take to leave. Where targets keep their names when they restart, a restarted one gets requests
+/// again after this time at the latest.
+const NOTICE_TTL: Duration = Duration::from_secs(600);
+/// The number of notices that are remembered; beyond it the oldest is dropped.
+const NOTICES_LIMIT: usize = 1_024;
+/// The number of notices in a digest.
+const REPORTED_LIMIT: usize = 64;
+/// The longest back-off that a target may request; the limit keeps sums of times finite.
 pub const LONGEST_HOLD_OFF: Duration = Duration::from_secs(86_400);
 
-/// What one answer says of its target.
+/// The notices in one answer of a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct TargetWord {
-    /// The target leaves.
+    /// Whether the target is leaving.
     pub leaving: bool,
-    /// For this long the target wants nothing from this VM.
+    /// For this long the target asks this VM to send it no requests.
     pub hold_off: Option<Duration>,
-    /// What it says of a limit.
+    /// The request rate limit that the target announces.
     pub limit: LimitWord,
 }
 
-/// What one answer says of the requests a second that its target takes from all VMs together.
+/// What one answer says about the target's limit: the requests a second that it accepts from all
+/// VMs together.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub enum LimitWord {
-    /// It names no limit.
+    /// The answer announces no limit.
     #[default]
     Unnamed,
-    /// It takes no more than this.
+    /// The target accepts at most this rate.
     Named(RequestRate),
-    /// It names one that cannot be read: whatever was known before holds on.
+    /// The answer announces a limit that cannot be read; the limit known before stays in force.
     Unreadable,
 }
 
 impl LimitWord {
-    /// Reads the values of a header that names a limit. The least of several holds.
+    /// Reads the values of the header that announces a limit. The lowest of several applies.
     pub fn read<'a>(values: impl Iterator<Item = Option<&'a str>>) -> Self {
-        let mut word = Self::Unnamed;
+        let mut notice = Self::Unnamed;
         for value in values {
             let Some(rate) = value.and_then(|text| text.parse::<RequestRate>().ok()) else {
                 return Self::Unreadable;
             };
-            word = match word {
+            notice = match notice {
                 Self::Named(least) => Self::Named(rate.min(least)),
                 Self::Unnamed | Self::Unreadable => Self::Named(rate),
             };
         }
-        word
+        notice
     }
 
-    /// Returns the limit, if one is named.
+    /// Returns the limit, if one is announced.
     pub fn rate(self) -> Option<RequestRate> {
         match self {
             Self::Named(rate) => Some(rate),
@@ -72,79 +75,85 @@
 }
 
 impl TargetWord {
-    /// Returns whether it says nothing.
+    /// Returns whether there is no notice.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// A target that has said that it leaves, as VMs tell each other.
+/// A target that has announced that it is leaving, as VMs report it to each other.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct LeavingMark {
     /// The target.
     pub target: TargetKey,
-    /// For how long yet its word is remembered, in milliseconds.
+    /// How much longer the notice is remembered, in milliseconds.
     pub left_ms: u32,
 }
 
-/// The targets that have said that they leave, and until when that is remembered.
+/// The targets that have announced that they are leaving, and until when each notice is remembered.
 #[derive(Debug, Default)]
 pub struct LeavingWords {
-    words: BTreeMap<TargetKey, Moment>,
+    expiries: BTreeMap<TargetKey, Moment>,
 }
 
 impl LeavingWords {
-    /// Notes that a target has said to this VM that it leaves; returns whether that is new.
+    /// Records that a target has told this VM that it is leaving; returns whether that is new.
     pub fn note(&mut self, now: Moment, target: TargetKey) -> bool {
-        self.insert(target, now + WORD_LIFE)
+        self.insert(target, now + NOTICE_TTL)
     }
 
-    /// Takes what a peer tells; returns whether that is new. What peers repeat does not make a word younger: they would keep
-    /// it alive for each other.
+    /// Records a peer's report; returns whether that is new. A repeated report does not extend the
+    /// time for which a notice is remembered, because VMs would then keep the notice alive between
+    /// them forever.
     pub fn take(&mut self, now: Moment, mark: LeavingMark) -> bool {
-        let left = Duration::from_millis(u64::from(mark.left_ms)).min(WORD_LIFE);
+        let left = Duration::from_millis(u64::from(mark.left_ms)).min(NOTICE_TTL);
         !left.is_zero() && !self.holds(mark.target) && self.insert(mark.target, now + left)
     }
 
     fn insert(&mut self, target: TargetKey, until: Moment) -> bool {
-        let is_new = self.words.insert(target, until).is_none();
-        if self.words.len() > WORDS_LIMIT {
-            let oldest = self.words.iter().min_by_key(|(_, until)| **until);
+        let is_new = self.expiries.insert(target, until).is_none();
+        if self.expiries.len() > NOTICES_LIMIT {
+            let oldest = self.expiries.iter().min_by_key(|(_, until)| **until);
             if let Some(oldest) = oldest.map(|(target, _)| *target) {
-                self.words.remove(&oldest);
+                self.expiries.remove(&oldest);
             }
         }
         is_new
     }
 
-    /// Forgets what a target has said: it has started again under its name, or stays.
+    /// Drops a target's notice, because it has restarted under its name or stays after all.
     pub fn forget(&mut self, target: TargetKey) {
-        self.words.remove(&target);
+        self.expiries.remove(&target);
     }
 
-    /// Returns whether a target has said that it leaves.
+    /// Returns whether a target has announced that it is leaving.
     pub fn holds(&self, target: TargetKey) -> bool {
-        self.words.contains_key(&target)
+        self.expiries.contains_key(&target)
     }
 
-    /// Returns the targets that have said that they leave.
+    /// Returns the targets that have announced that they are leaving.
     pub fn all(&self) -> Vec<TargetKey> {
-        self.words.keys().copied().collect()
+        self.expiries.keys().copied().collect()
     }
 
-    /// Forgets the words that are too old, and returns their targets.
+    /// Drops expired notices, and returns their targets.
     pub fn age(&mut self, now: Moment) -> Vec<TargetKey> {
-        let old = self.words.extract_if(.., |_, until| *until <= now);
-        old.map(|(target, _)| target).collect()
+        let expired = self.expiries.extract_if(.., |_, until| *until <= now);
+        expired.map(|(target, _)| target).collect()
     }
 
-    /// Returns what peers are told: those of `unsure` that have said that they leave, of which the registry does not say it.
-    pub fn told(&self, now: Moment, unsure: impl Iterator<Item = TargetKey>) -> Vec<LeavingMark> {
+    /// Returns the reports for peers: the targets among `unregistered` that have announced that
+    /// they are leaving. `unregistered` are those whose registry entries do not say so.
+    pub fn told(
+        &self,
+        now: Moment,
+        unregistered: impl Iterator<Item = TargetKey>,
+    ) -> Vec<LeavingMark> {
         let mark = |target: TargetKey| {
-            let left = self.words.get(&target)?.since(now);
+            let left = self.expiries.get(&target)?.since(now);
             let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             Some(LeavingMark { target, left_ms })
         };
-        unsure.filter_map(mark).take(TOLD_LIMIT).collect()
+        unregistered.filter_map(mark).take(REPORTED_LIMIT).collect()
     }
 }
--- a/crates/ryetide-core/src/units.rs
+++ b/crates/ryetide-core/src/units.rs
@@ -7,7 +7,7 @@
 use crate::util::number_type;
 
 number_type!(
-    /// A count of tokens, prompt or generated.
+    /// A count of prompt or generated tokens.
     Tokens(u64)
 );
 number_type!(
@@ -15,7 +15,7 @@
     ByteSize(u64)
 );
 number_type!(
-    /// The speed of a network link, in megabits a second; 0 when it is not known.
+    /// The speed of a network link, in megabits a second; 0 when it is unknown.
     LinkRate(u32)
 );
 number_type!(
@@ -43,7 +43,8 @@
     }
 }
 
-/// Below this speed a target counts as stopped; it keeps divisions finite.
+/// The lowest speed that divisions use; it keeps their results finite. A slower target counts as
+/// stopped.
 const MINIMUM_RATE: f64 = 0.01;
 
 impl fmt::Display for TokenRate {
@@ -60,7 +61,7 @@
     }
 }
 
-/// A rate in requests a second, kept in thousandths of one and rounded down.
+/// A rate in requests a second, stored in thousandths and rounded down.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
@@ -68,7 +69,7 @@
 pub struct RequestRate(pub u32);
 
 impl RequestRate {
-    /// The thousandths of a request a second in one request a second.
+    /// The number of units in one request a second.
     const UNIT: f64 = 1_000.0;
 
     /// Returns the requests a second.
@@ -83,9 +84,9 @@
     }
 }
 
-/// A text that is no rate.
+/// A text that is not a request rate.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("{0:?} is no number of requests a second, 0 or more")]
+#[error("{0:?} is not a request rate: expected a number of requests per second, 0 or more")]
 pub struct RequestRateError(String);
 
 impl std::str::FromStr for RequestRate {
@@ -94,14 +95,14 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let rate = text.trim().parse::<f64>().ok().filter(|rate| rate.is_finite() && *rate >= 0.0);
         let rate = rate.ok_or_else(|| RequestRateError(text.to_owned()))?;
-        // What is beyond the type's range is as good as no bound.
+        // A rate above the type's range saturates, which is as good as no limit.
         Ok(Self((rate * Self::UNIT) as u32))
     }
 }
 
-/// A point on the driver's monotonic clock, in microseconds since it started.
+/// A point on the driver's monotonic clock, in microseconds since its start.
 ///
-/// The core never reads a clock: each event comes with the moment at which it happened.
+/// The core never reads a clock: each event carries the moment at which it happened.
 ///
 /// # Example
 ///
@@ -125,7 +126,7 @@
         Self(millis * 1_000)
     }
 
-    /// Returns the time passed since `earlier`, or zero when `earlier` lies ahead.
+    /// Returns the time since `earlier`, or zero when `earlier` is later.
     pub fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/ryetide-core/src/util.rs
+++ b/crates/ryetide-core/src/util.rs
@@ -70,7 +70,7 @@
 pub(crate) use name_type;
 pub(crate) use number_type;
 
-/// Returns whole milliseconds, or the greatest number when there are too many.
+/// Returns the span in whole milliseconds, saturating at the greatest number.
 pub(crate) fn millis(span: std::time::Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
