--- a/crates/ryetide-core/tests/cell_plan.rs
+++ b/crates/ryetide-core/tests/cell_plan.rs
@@ -1,4 +1,4 @@
-//! The cells of a large deployment.
+//! The division of a large deployment into cells.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -42,7 +42,7 @@
     CellPlan::new(&all[own], &others, targets)
 }
 
-/// The targets that each VM uses.
+/// Returns the targets that each VM uses.
 fn uses(all: &[CellMember], targets: &[TargetEntry]) -> Vec<BTreeSet<TargetKey>> {
     let refs: Vec<&TargetEntry> = targets.iter().collect();
     let used = |own| plan_of(own, all, &refs).targets(&refs).into_iter().collect();
@@ -57,10 +57,10 @@
     assert!(uses(&all, &targets(12)).iter().all(|used| used.len() == 12));
 }
 
-/// Seventy VMs before 140 targets: every target is used by exactly one cell, cells are near their
-/// size, and mates are mutual and use the same targets.
+/// Seventy VMs with 140 targets: exactly one cell uses each target, cells are near their intended
+/// size, and two VMs are in the same cell exactly when they use the same targets.
 #[test]
-fn a_large_deployment_is_dealt_evenly() {
+fn a_large_deployment_is_divided_evenly() {
     let (all, targets) = (members(70), targets(140));
     let uses = uses(&all, &targets);
     let refs: Vec<&TargetEntry> = targets.iter().collect();
@@ -77,14 +77,14 @@
     }
     for own in 0..all.len() {
         for peer in (0..all.len()).filter(|peer| *peer != own) {
-            let mates = plans[own].is_mate(&all[peer].name);
-            assert_eq!(mates, uses[own] == uses[peer], "{own} and {peer}");
+            let same_cell = plans[own].is_mate(&all[peer].name);
+            assert_eq!(same_cell, uses[own] == uses[peer], "{own} and {peer}");
         }
     }
 }
 
-/// One VM dies. Hardly any VM may find other targets than before: each that does starts without
-/// knowing what runs there.
+/// When one VM dies, few VMs may change targets: a VM with a new target starts without knowing the
+/// load there.
 #[test]
 fn the_loss_of_a_vm_moves_few_targets() {
     let (all, targets) = (members(70), targets(140));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_targets_of_a_data_centre_without_vms_are_dealt_among_all() {
+fn the_targets_of_a_data_centre_without_vms_are_divided_among_all_cells() {
     let all: Vec<CellMember> =
         members(70).into_iter().filter(|member| member.data_centre != "hall-c".into()).collect();
     let targets = targets(140);
@@ -106,16 +106,16 @@
 }
 
 #[test]
-fn a_service_of_few_targets_is_shared_by_all() {
+fn a_service_with_few_targets_is_shared_by_all_cells() {
     let all = members(70);
     assert!(uses(&all, &targets(3)).iter().all(|used| used.len() == 3));
 }
 
-/// Any proportion of VMs to targets, from thirty VMs to a target to three targets to a VM. What a VM has at
-/// a target is told to its mates only; a VM of another cell that used the target too would send more there
-/// than it has places, and callers would wait inside the engine behind less urgent ones.
+/// Guards against targets that VMs of different cells use. A VM reports its load on a target only
+/// within its cell. A VM of another cell would send the target more requests than it has slots, and
+/// they would wait inside the engine behind less urgent ones.
 #[test]
-fn whoever_uses_a_target_tells_all_others_that_do() {
+fn vms_that_share_a_target_are_in_the_same_cell() {
     for (vms, target_count) in [(13, 24), (70, 140), (195, 78), (195, 27), (300, 15), (410, 600)] {
         let (all, targets) = (members(vms), targets(target_count));
         let refs: Vec<&TargetEntry> = targets.iter().collect();
@@ -123,16 +123,16 @@
         for own in [0, 1, vms / 2] {
             let plan = plan_of(own, &all, &refs);
             let is_shared = |peer: &usize| !uses[own].is_disjoint(&uses[*peer]);
-            let untold = (0..vms).filter(|peer| *peer != own).filter(is_shared);
-            let untold = untold.filter(|peer| !plan.is_mate(&all[*peer].name)).count();
-            assert_eq!(untold, 0, "{vms} VMs, {target_count} targets, VM {own}");
+            let outside = (0..vms).filter(|peer| *peer != own).filter(is_shared);
+            let outside = outside.filter(|peer| !plan.is_mate(&all[*peer].name)).count();
+            assert_eq!(outside, 0, "{vms} VMs, {target_count} targets, VM {own}");
         }
     }
 }
 
-/// Where VMs outnumber targets, cells grow with them rather than run out of targets.
+/// Where VMs outnumber targets, cells grow so that each keeps enough targets.
 #[test]
-fn a_cell_has_targets_enough_to_even_out_what_comes() {
+fn every_cell_has_enough_targets() {
     for (vms, target_count) in [(70, 140), (195, 78), (195, 90), (410, 600)] {
         let (all, targets) = (members(vms), targets(target_count));
         let least = uses(&all, &targets).iter().map(BTreeSet::len).min();
@@ -140,10 +140,10 @@
     }
 }
 
-/// Between a cell of one data centre and two of them there is one boundary; a target more or less there
-/// changes the cells, and everywhere else none.
+/// Between one cell and two for a data centre there is one threshold: adding or removing a target
+/// there changes the cells, and elsewhere it does not.
 #[test]
-fn cells_change_only_where_targets_are_enough_for_one_more() {
+fn cells_change_only_at_the_threshold_for_one_more() {
     let all = members(195);
     let cells = |count: usize| {
         let distinct: BTreeSet<_> = uses(&all, &targets(count)).into_iter().collect();
--- a/crates/ryetide-core/tests/fleet_digests.rs
+++ b/crates/ryetide-core/tests/fleet_digests.rs
@@ -1,4 +1,4 @@
-//! Whom a VM of a large fleet tells everything, and how often.
+//! The recipients of a VM's digests in a large fleet, and the digest interval.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     units::{LinkRate, Moment},
 };
 
-/// The scheduler of VM `e1`, that knows these targets.
+/// Returns the scheduler of VM `e1`, which knows `targets`.
 fn scheduler(targets: &[&str]) -> Scheduler {
     let mut scheduler = Scheduler::new(SchedulerOptions {
         name: "e1".into(),
@@ -41,7 +41,7 @@
     scheduler
 }
 
-/// Returns the other VMs of a fleet of this size in three data centres.
+/// Returns the other VMs of a fleet of `size` VMs in three data centres.
 fn listed(size: usize) -> Vec<CellMember> {
     let member = |index: usize| CellMember {
         name: format!("e{index}").as_str().into(),
@@ -50,59 +50,61 @@
     (2..=size).map(member).collect()
 }
 
-/// A VM whose link is too slow to pass anything on.
+/// Returns a VM whose link is too slow for a relay.
 fn small_peer(member: &CellMember) -> DigestPeer {
     let CellMember { name, data_centre } = member.clone();
     DigestPeer { name, data_centre, link: LinkRate(20) }
 }
 
-fn count_mates(scheduler: &Scheduler, listed: &[CellMember]) -> usize {
+fn count_cell_peers(scheduler: &Scheduler, listed: &[CellMember]) -> usize {
     listed.iter().filter(|peer| scheduler.is_mate(&peer.name)).count()
 }
 
-/// Seventy VMs are killed at once and start again. None has heard another yet, nor knows a target; the list says
-/// who they are. Each tells everything to the few of its cell only: to tell 69 others of every change would take
-/// more processor time than a small VM has, and nobody would ever be heard.
+/// Guards against fleets that never recover from a restart of all VMs at once. No VM has received a
+/// digest or knows a target yet, and only the list names the others. Each VM sends digests only to
+/// its cell: sending every change to 69 others would take more processor time than a small VM has,
+/// and no VM would ever receive a digest.
 #[test]
-fn a_vm_that_has_heard_nobody_yet_keeps_to_its_cell() {
+fn a_vm_without_reachable_peers_sends_digests_to_its_cell_only() {
     let mut scheduler = scheduler(&[]);
     let listed = listed(70);
     scheduler.list_peers(Moment(1), &listed);
-    let mates = count_mates(&scheduler, &listed);
-    assert!((5..=10).contains(&mates), "{mates} mates");
+    let cell_peers = count_cell_peers(&scheduler, &listed);
+    assert!((5..=10).contains(&cell_peers), "{cell_peers} peers in the cell");
 }
 
-/// Hundreds of VMs share one target, and so all of a data centre are told what each has there. However many they
-/// are, a VM is told as often as in a cell of eight: more would leave a small one no time to serve anybody.
+/// Guards against digests that take up a small VM's processor time. Hundreds of VMs share one
+/// target, so all VMs of a data centre are one cell; whatever its size, a VM receives as many
+/// digests as in a cell of eight.
 #[test]
-fn a_vm_of_a_large_cell_is_told_no_more_often_than_one_of_a_small_cell() {
+fn a_vm_of_a_large_cell_receives_no_more_digests_than_one_of_a_small_cell() {
     for size in [9, 70, 195, 410] {
         let mut scheduler = scheduler(&["t1"]);
         let listed = listed(size);
         scheduler.list_peers(Moment(1), &listed);
-        let mates = count_mates(&scheduler, &listed) as f64;
-        assert!(mates >= (size / 3 - 1) as f64, "{mates} of {size} are mates");
+        let cell_peers = count_cell_peers(&scheduler, &listed) as f64;
+        assert!(cell_peers >= (size / 3 - 1) as f64, "{cell_peers} of {size} in the cell");
         let peers: Vec<DigestPeer> = listed.iter().map(small_peer).collect();
-        assert_eq!(scheduler.mate_recipients(Moment(1), &peers).direct.len(), mates as usize);
-        let told = mates / scheduler.digest_interval().as_secs_f64();
-        assert!(told.floor() <= 7.0 / 0.006, "{size} VMs: told {told} times a second");
+        assert_eq!(scheduler.mate_recipients(Moment(1), &peers).direct.len(), cell_peers as usize);
+        let received = cell_peers / scheduler.digest_interval().as_secs_f64();
+        assert!(received.floor() <= 7.0 / 0.006, "{size} VMs: {received} digests a second");
     }
 }
 
-/// Of forty VMs two could pass digests on, and one of them says that it is shutting down. It still answers for some
-/// seconds, and what is sent to it after that would reach nobody.
+/// Guards against digests lost at a relay that is shutting down: of two possible relays for forty
+/// VMs, one is leaving. It still runs for some seconds, but soon forwards nothing any more.
 #[test]
-fn a_vm_that_shuts_down_is_not_asked_to_pass_on() {
+fn a_vm_that_is_shutting_down_is_no_relay() {
     let mut scheduler = scheduler(&["t1"]);
     let listed = listed(120);
     scheduler.list_peers(Moment(1), &listed);
-    let able = ["e3", "e6"];
+    let relays = ["e3", "e6"];
     for (name, leaving) in [("e3", true), ("e6", false)] {
         let digest = LoadDigest { sequence: 1, leaving, ..LoadDigest::default() };
         scheduler.take_digest(Moment(2), DigestEnvelope { from: name.into(), digest });
     }
     let mut peers: Vec<DigestPeer> = listed.iter().map(small_peer).collect();
-    for peer in peers.iter_mut().filter(|peer| able.contains(&peer.name.as_str())) {
+    for peer in peers.iter_mut().filter(|peer| relays.contains(&peer.name.as_str())) {
         peer.link = LinkRate(1_000);
     }
     for _ in 0..20 {
--- a/crates/ryetide-core/tests/target_limit/arbiters.rs
+++ b/crates/ryetide-core/tests/target_limit/arbiters.rs
@@ -1,4 +1,4 @@
-//! The arbiter of the other face before such a target.
+//! Arbiters that grant requests for a target with a limit.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,25 +18,26 @@
 use crate::WINDOW;
 
 const TEXT: &str = include_str!("../fault_matrix/services.yaml");
-/// What the target takes a second.
+/// The requests a second that the target accepts.
 const LIMIT: u64 = 2;
-/// Between two requests of callers.
+/// The pause between two requests of callers.
 const PAUSE: Duration = Duration::from_millis(20);
-const PLAYED: Duration = Duration::from_secs(12);
+const RUN_SPAN: Duration = Duration::from_secs(12);
 
-/// Entry VMs before one target, which answers everything at once.
-struct EntryPlay {
+/// Entry VMs with one target, which answers every request at once.
+struct EntrySimulation {
     cores: Vec<EntryCore>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     now: Moment,
-    /// VMs below this and the others do not hear each other.
-    cut: usize,
-    /// When requests were sent.
+    /// VMs with an index below this cannot reach the others, and vice versa.
+    partition: usize,
+    /// When requests were dispatched.
     sent: Vec<Moment>,
 }
 
-fn start_core(vm: usize, life: u64) -> EntryCore {
-    let options = EntryOptions::new(name(vm), DataCentreName::from("here"), Incarnation(life));
+fn start_core(vm: usize, incarnation: u64) -> EntryCore {
+    let options =
+        EntryOptions::new(name(vm), DataCentreName::from("here"), Incarnation(incarnation));
     EntryCore::new(options)
 }
 
@@ -57,27 +58,32 @@
     }
 }
 
-impl EntryPlay {
+impl EntrySimulation {
     fn start(vms: usize) -> Self {
         let cores = (0..vms).map(|vm| start_core(vm, 1)).collect();
-        let mut play =
-            Self { cores, lives: vec![1; vms], now: Moment(1), cut: 0, sent: Vec::new() };
-        (0..vms).for_each(|vm| play.begin(vm));
-        play
+        let mut simulation = Self {
+            cores,
+            incarnations: vec![1; vms],
+            now: Moment(1),
+            partition: 0,
+            sent: Vec::new(),
+        };
+        (0..vms).for_each(|vm| simulation.start_vm(vm));
+        simulation
     }
 
-    fn begin(&mut self, vm: usize) {
+    fn start_vm(&mut self, vm: usize) {
         self.step(vm, Event::Tick);
         self.step(vm, Event::ListRead((0..self.cores.len()).map(listed).collect()));
     }
 
     fn restart(&mut self, vm: usize) {
-        self.lives[vm] += 1;
-        self.cores[vm] = start_core(vm, self.lives[vm]);
-        self.begin(vm);
+        self.incarnations[vm] += 1;
+        self.cores[vm] = start_core(vm, self.incarnations[vm]);
+        self.start_vm(vm);
     }
 
-    /// Takes an event, and answers what follows from it.
+    /// Applies an event, and the events that follow from its effects.
     fn step(&mut self, vm: usize, event: Event) {
         let mut events = vec![(vm, event)];
         while let Some((vm, event)) = events.pop() {
@@ -110,15 +116,15 @@
 
     fn deliver(&self, from: usize, to: &VmName, message: PeerMessage) -> Vec<(usize, Event)> {
         let found = (0..self.cores.len()).find(|vm| name(*vm) == *to);
-        let heard = found.filter(|vm| (*vm < self.cut) == (from < self.cut));
-        let incarnation = Incarnation(self.lives[from]);
+        let recipient = found.filter(|vm| (*vm < self.partition) == (from < self.partition));
+        let incarnation = Incarnation(self.incarnations[from]);
         let data_centre = DataCentreName::from("here");
         let (from, address) = (name(from), address(from));
         let event = Event::PeerMessage { from, incarnation, address, data_centre, message };
-        heard.map(|vm| (vm, event)).into_iter().collect()
+        recipient.map(|vm| (vm, event)).into_iter().collect()
     }
 
-    fn wait(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         loop {
             let next = |vm: &usize| self.cores[*vm].next_wake(self.now);
@@ -132,21 +138,21 @@
         self.now = until;
     }
 
-    /// Lets callers ask all VMs in turn for so long.
-    fn ask_for(&mut self, span: Duration, next: &mut u64) {
+    /// Sends callers' requests to all VMs in turn for `span`.
+    fn send_requests(&mut self, span: Duration, next: &mut u64) {
         let end = self.now + span;
         while self.now < end {
             let vm = *next as usize % self.cores.len();
             self.step(vm, Event::Arrived(request(*next)));
             *next += 1;
-            self.wait(PAUSE);
+            self.advance(PAUSE);
         }
     }
 }
 
-/// The target's answer, the last event first.
+/// The target's answer, last event first.
 fn target_answers(sequence: RequestSequence, attempt: AttemptNumber) -> [Event; 3] {
-    let word = TargetWord {
+    let notice = TargetWord {
         limit: LimitWord::Named(RequestRate(LIMIT as u32 * 1_000)),
         ..TargetWord::default()
     };
@@ -155,7 +161,7 @@
     [
         Event::TargetEnd { sequence, attempt, length: 0 },
         Event::TargetHead { sequence, attempt, head },
-        Event::TargetSaid { sequence, target, word },
+        Event::TargetSaid { sequence, target, word: notice },
     ]
 }
 
@@ -180,43 +186,48 @@
     }
 }
 
-/// What the limit permits in a window, and one for each VM that may send at its very begin.
+/// The requests that the limit permits in a window, and one more for each VM that may send at its
+/// very beginning.
 fn permitted(senders: usize) -> usize {
     (LIMIT * WINDOW.as_secs()) as usize + senders
 }
 
-/// Guards against the limit of a target in need being passed over by the arbiter that orders it.
+/// Guards against an arbiter that grants more requests than the target's limit permits.
 #[test]
-fn an_arbiter_grants_no_more_than_the_limit_that_a_target_names() {
+fn an_arbiter_grants_no_more_than_a_targets_limit() {
     for vms in [1, 4] {
-        let mut play = EntryPlay::start(vms);
-        play.ask_for(PLAYED, &mut 1);
-        // The first requests tell of the limit.
-        let known = play.sent.partition_point(|at| *at < Moment::from_millis(100));
-        let count = crate::most_in_window(&play.sent[known..]);
+        let mut simulation = EntrySimulation::start(vms);
+        simulation.send_requests(RUN_SPAN, &mut 1);
+        // The first requests make the limit known.
+        let known = simulation.sent.partition_point(|at| *at < Moment::from_millis(100));
+        let count = crate::most_in_window(&simulation.sent[known..]);
         assert!(count <= permitted(1), "{vms} VMs: {count} requests in {WINDOW:?}");
-        let gets = play.sent.len() as u64;
+        let dispatched = simulation.sent.len() as u64;
         assert!(
-            gets > LIMIT * PLAYED.as_secs() / 2,
-            "{vms} VMs: what it takes it gets, not {gets}"
+            dispatched > LIMIT * RUN_SPAN.as_secs() / 2,
+            "{vms} VMs: only {dispatched} requests dispatched, the limit is not used up"
         );
     }
 }
 
-/// Guards against arbiters on two sides of a cut, and one that takes over, that each grant the whole limit.
+/// Guards against several arbiters that each grant the whole limit: two on the sides of a network
+/// partition, or one that takes over from another.
 #[test]
 fn arbiters_of_one_target_grant_no_more_than_its_limit_together() {
-    for cut in 1..4 {
-        let (mut play, mut next) = (EntryPlay::start(4), 1);
-        play.ask_for(PLAYED, &mut next);
-        let known = play.sent.len();
-        play.cut = cut;
-        play.ask_for(PLAYED, &mut next);
-        play.cut = 0;
-        play.ask_for(PLAYED, &mut next);
-        play.restart(cut);
-        play.ask_for(PLAYED, &mut next);
-        let count = crate::most_in_window(&play.sent[known..]);
-        assert!(count <= permitted(3), "cut before {cut}: {count} requests in {WINDOW:?}");
+    for partition in 1..4 {
+        let (mut simulation, mut next) = (EntrySimulation::start(4), 1);
+        simulation.send_requests(RUN_SPAN, &mut next);
+        let known = simulation.sent.len();
+        simulation.partition = partition;
+        simulation.send_requests(RUN_SPAN, &mut next);
+        simulation.partition = 0;
+        simulation.send_requests(RUN_SPAN, &mut next);
+        simulation.restart(partition);
+        simulation.send_requests(RUN_SPAN, &mut next);
+        let count = crate::most_in_window(&simulation.sent[known..]);
+        assert!(
+            count <= permitted(3),
+            "partition before {partition}: {count} requests in {WINDOW:?}"
+        );
     }
 }
--- a/crates/ryetide-core/tests/target_limit/fleet.rs
+++ b/crates/ryetide-core/tests/target_limit/fleet.rs
@@ -1,4 +1,4 @@
-//! A model of VMs that share targets which name limits, in virtual time.
+//! A simulation in virtual time of VMs that share targets with limits.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,62 +18,62 @@
     wait_line::WaitingWork,
 };
 
-/// A VM that has passed an answer on which names a limit keeps to it after this time.
-const TOLD_SPAN: Duration = Duration::from_millis(500);
-/// From this time on after a target has named its limit first the fleet keeps to it.
-const STABLE_SPAN: Duration = Duration::from_secs(3);
+/// A VM observes a limit within this time after it has relayed an answer that announces the limit.
+const OBSERVE_DELAY: Duration = Duration::from_millis(500);
+/// The fleet observes a limit within this time after the target has first announced it.
+const FLEET_DELAY: Duration = Duration::from_secs(3);
 const TICK: Duration = Duration::from_millis(5);
 const ANSWER_SPAN: Duration = Duration::from_millis(30);
 const PATIENCE: Duration = Duration::from_millis(2_500);
-const WHOLE_INTERVAL: Duration = Duration::from_millis(400);
+const FULL_INTERVAL: Duration = Duration::from_millis(400);
 const BRIEF_INTERVAL: Duration = Duration::from_millis(1_000);
-const BRIEF_SHORT: Duration = Duration::from_millis(300);
-/// One digest of this many is lost.
-const LOST_OF: u32 = 20;
-/// When a VM that has started has read who there is.
-const LISTED_SPAN: Duration = Duration::from_millis(300);
+const BRIEF_FAST_INTERVAL: Duration = Duration::from_millis(300);
+/// One digest in this many is lost.
+const LOSS_INVERSE: u32 = 20;
+/// A VM reads the list of VMs this long after its start.
+const LIST_DELAY: Duration = Duration::from_millis(300);
 
-/// Trouble that a play meets.
+/// A disturbance in the simulation.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
-    /// A VM is killed and starts again at once.
+pub enum Disturbance {
+    /// A VM is killed and restarts at once.
     Restart(usize),
-    /// The VMs with a lower index and the others do not hear each other until then.
-    Cut(usize, Moment),
-    /// So many requests come at each VM at once.
+    /// VMs with a lower index cannot reach the others until the given moment, and vice versa.
+    Partition(usize, Moment),
+    /// This many requests arrive at each VM at once.
     Burst(u64),
-    /// A VM joins the others.
+    /// A VM joins the fleet.
     Join,
 }
 
-/// A target of the play.
+/// The limit of a simulated target.
 #[derive(Clone, Copy, Debug)]
-pub struct Need {
-    /// The requests a second that it takes; nothing for one that names no limit.
+pub struct SimulatedLimit {
+    /// The requests a second that it accepts; none for a target without a limit.
     pub rate: Option<RequestRate>,
-    /// When it names its limit first.
+    /// When it first announces the limit.
     pub from: Moment,
-    /// When it ceases to.
+    /// When it stops announcing the limit.
     pub until: Moment,
 }
 
-impl Need {
+impl SimulatedLimit {
     pub const NONE: Self = Self { rate: None, from: Moment(0), until: Moment(0) };
 
-    fn named(&self, now: Moment) -> LimitWord {
-        let is_named = self.from <= now && now < self.until;
-        self.rate.filter(|_| is_named).map_or(LimitWord::Unnamed, LimitWord::Named)
+    fn notice(&self, now: Moment) -> LimitWord {
+        let is_announced = self.from <= now && now < self.until;
+        self.rate.filter(|_| is_announced).map_or(LimitWord::Unnamed, LimitWord::Named)
     }
 }
 
-struct PlayedVm {
+struct SimulatedVm {
     scheduler: Scheduler,
     started: Moment,
     is_listed: bool,
-    told: Moment,
-    told_briefly: Moment,
-    /// When it passed an answer on that named the limit of a target.
-    heard: BTreeMap<usize, Moment>,
+    last_digest: Moment,
+    last_brief_digest: Moment,
+    /// When it first relayed an answer that announced a target's limit.
+    limit_seen: BTreeMap<usize, Moment>,
 }
 
 struct Answer {
@@ -82,33 +82,33 @@
     started: Moment,
     ticket: RequestSequence,
     target: usize,
-    asked: Moment,
+    sent_at: Moment,
 }
 
-/// A request that came to a target.
+/// A request that arrived at a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub at: Moment,
-    /// Whether its VM had passed a limit on before.
-    pub told: bool,
+    /// Whether its VM had relayed an announcement of the limit at least [`OBSERVE_DELAY`] before.
+    pub limit_known: bool,
 }
 
-/// What became of callers.
+/// The outcomes of requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub placed: u32,
     pub refused: u32,
 }
 
-pub struct LimitPlay {
+pub struct LimitSimulation {
     rng: SmallRng,
     pub now: Moment,
-    vms: Vec<PlayedVm>,
-    needs: Vec<Need>,
+    vms: Vec<SimulatedVm>,
+    limits: Vec<SimulatedLimit>,
     answers: Vec<Answer>,
-    mail: Vec<(Moment, usize, usize, DigestEnvelope)>,
-    cut: Option<(usize, Moment)>,
-    /// Requests a second at each VM.
+    in_transit: Vec<(Moment, usize, usize, DigestEnvelope)>,
+    partition: Option<(usize, Moment)>,
+    /// The requests a second at each VM.
     rate: f64,
     next: u64,
     pub arrivals: Vec<Vec<Arrival>>,
@@ -142,7 +142,7 @@
     entry(target).key()
 }
 
-fn start_vm(vm: usize, targets: usize, now: Moment) -> PlayedVm {
+fn start_vm(vm: usize, targets: usize, now: Moment) -> SimulatedVm {
     let CellMember { name, data_centre } = member(vm);
     let mut scheduler = Scheduler::new(SchedulerOptions {
         name,
@@ -154,44 +154,44 @@
         assumed: AssumedPace::default(),
     });
     scheduler.set_targets(now, (0..targets).map(entry).collect());
-    PlayedVm {
+    SimulatedVm {
         scheduler,
         started: now,
         is_listed: false,
-        told: now,
-        told_briefly: now,
-        heard: BTreeMap::new(),
+        last_digest: now,
+        last_brief_digest: now,
+        limit_seen: BTreeMap::new(),
     }
 }
 
-impl LimitPlay {
-    pub fn new(seed: u64, vms: usize, needs: Vec<Need>, rate: f64) -> Self {
+impl LimitSimulation {
+    pub fn new(seed: u64, vms: usize, limits: Vec<SimulatedLimit>, rate: f64) -> Self {
         let now = Moment::from_millis(1_000);
         Self {
             rng: SmallRng::seed_from_u64(seed),
             now,
-            vms: (0..vms).map(|vm| start_vm(vm, needs.len(), now)).collect(),
-            arrivals: vec![Vec::new(); needs.len()],
-            needs,
+            vms: (0..vms).map(|vm| start_vm(vm, limits.len(), now)).collect(),
+            arrivals: vec![Vec::new(); limits.len()],
+            limits,
             answers: Vec::new(),
-            mail: Vec::new(),
-            cut: None,
+            in_transit: Vec::new(),
+            partition: None,
             rate,
             next: 1,
             tally: Tally::default(),
         }
     }
 
-    pub fn meet(&mut self, trouble: Trouble) {
-        match trouble {
-            Trouble::Restart(vm) => self.vms[vm] = start_vm(vm, self.needs.len(), self.now),
-            Trouble::Cut(vm, until) => self.cut = Some((vm, until)),
-            Trouble::Join => {
-                self.vms.push(start_vm(self.vms.len(), self.needs.len(), self.now));
+    pub fn disturb(&mut self, disturbance: Disturbance) {
+        match disturbance {
+            Disturbance::Restart(vm) => self.vms[vm] = start_vm(vm, self.limits.len(), self.now),
+            Disturbance::Partition(vm, until) => self.partition = Some((vm, until)),
+            Disturbance::Join => {
+                self.vms.push(start_vm(self.vms.len(), self.limits.len(), self.now));
             }
-            Trouble::Burst(count) => {
+            Disturbance::Burst(count) => {
                 for vm in 0..self.vms.len() {
-                    (0..count).for_each(|_| self.ask(vm));
+                    (0..count).for_each(|_| self.submit(vm));
                 }
             }
         }
@@ -200,24 +200,24 @@
     pub fn run_until(&mut self, end: Moment) {
         while self.now < end {
             self.now = self.now + TICK;
-            self.hear_digests();
-            self.hear_answers();
+            self.deliver_digests();
+            self.deliver_answers();
             for vm in 0..self.vms.len() {
                 self.list_peers(vm);
                 let expected = self.rate * TICK.as_secs_f64();
                 if self.rng.random_bool(expected.min(1.0)) {
-                    self.ask(vm);
+                    self.submit(vm);
                 }
                 let now = self.now;
                 self.vms[vm].scheduler.advance(now);
-                self.follow(vm);
-                self.tell(vm);
+                self.apply_decisions(vm);
+                self.send_digests(vm);
             }
         }
     }
 
     fn list_peers(&mut self, vm: usize) {
-        let due = self.now.since(self.vms[vm].started) >= LISTED_SPAN;
+        let due = self.now.since(self.vms[vm].started) >= LIST_DELAY;
         if due && !std::mem::replace(&mut self.vms[vm].is_listed, true) {
             let others: Vec<CellMember> =
                 (0..self.vms.len()).filter(|other| *other != vm).map(member).collect();
@@ -225,7 +225,7 @@
         }
     }
 
-    fn ask(&mut self, vm: usize) {
+    fn submit(&mut self, vm: usize) {
         let (ticket, now) = (RequestSequence(self.next), self.now);
         self.next += 1;
         let work = WaitingWork {
@@ -246,122 +246,123 @@
             excluded: Vec::new(),
         };
         self.vms[vm].scheduler.enter(now, work);
-        self.follow(vm);
+        self.apply_decisions(vm);
     }
 
-    fn follow(&mut self, vm: usize) {
+    fn apply_decisions(&mut self, vm: usize) {
         for decision in self.vms[vm].scheduler.take_decisions() {
             let Decision::Place { ticket, target, .. } = decision else {
                 self.tally.refused += 1;
                 continue;
             };
             self.tally.placed += 1;
-            let target = (0..self.needs.len())
+            let target = (0..self.limits.len())
                 .find(|it| target_key(*it) == target.key())
-                .expect("a target of the play");
-            let heard = self.vms[vm].heard.get(&target);
-            let told = heard.is_some_and(|heard| self.now.since(*heard) >= TOLD_SPAN);
-            self.arrivals[target].push(Arrival { at: self.now, told });
-            let (at, asked) = (self.now + ANSWER_SPAN, self.now);
+                .expect("a target of the simulation");
+            let seen = self.vms[vm].limit_seen.get(&target);
+            let limit_known = seen.is_some_and(|seen| self.now.since(*seen) >= OBSERVE_DELAY);
+            self.arrivals[target].push(Arrival { at: self.now, limit_known });
+            let (at, sent_at) = (self.now + ANSWER_SPAN, self.now);
             let started = self.vms[vm].started;
-            self.answers.push(Answer { at, vm, started, ticket, target, asked });
+            self.answers.push(Answer { at, vm, started, ticket, target, sent_at });
         }
     }
 
-    fn hear_answers(&mut self) {
+    fn deliver_answers(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<Answer>, Vec<Answer>) =
             self.answers.drain(..).partition(|answer| answer.at <= now);
         self.answers = rest;
         for answer in due {
-            let word = self.needs[answer.target].named(now);
+            let notice = self.limits[answer.target].notice(now);
             let vm = &mut self.vms[answer.vm];
             if vm.started != answer.started {
                 continue;
             }
-            if word != LimitWord::Unnamed {
-                vm.heard.entry(answer.target).or_insert(now);
+            if notice != LimitWord::Unnamed {
+                vm.limit_seen.entry(answer.target).or_insert(now);
             }
-            vm.scheduler.note_limit(now, target_key(answer.target), word, answer.asked);
+            vm.scheduler.note_limit(now, target_key(answer.target), notice, answer.sent_at);
             vm.scheduler.end(now, answer.ticket, RunEnd::Whole);
-            self.follow(answer.vm);
+            self.apply_decisions(answer.vm);
         }
     }
 
-    fn tell(&mut self, from: usize) {
+    fn send_digests(&mut self, from: usize) {
         let now = self.now;
         let vm = &mut self.vms[from];
-        let is_due = now.since(vm.told) >= WHOLE_INTERVAL || vm.scheduler.take_changed();
-        if is_due && now.since(vm.told) >= vm.scheduler.digest_interval() {
-            vm.told = now;
+        let is_due = now.since(vm.last_digest) >= FULL_INTERVAL || vm.scheduler.take_changed();
+        if is_due && now.since(vm.last_digest) >= vm.scheduler.digest_interval() {
+            vm.last_digest = now;
             let digest = vm.scheduler.digest(now, FleetNews::default(), false);
             self.send(from, &digest, true);
         }
         let vm = &mut self.vms[from];
-        let interval = if vm.scheduler.has_fresh_limit(now) { BRIEF_SHORT } else { BRIEF_INTERVAL };
-        if now.since(vm.told_briefly) >= interval {
-            vm.told_briefly = now;
+        let interval =
+            if vm.scheduler.has_fresh_limit(now) { BRIEF_FAST_INTERVAL } else { BRIEF_INTERVAL };
+        if now.since(vm.last_brief_digest) >= interval {
+            vm.last_brief_digest = now;
             vm.scheduler.plan_cells(now);
             let digest = vm.scheduler.brief_digest(now, FleetNews::default(), false);
             self.send(from, &digest, false);
         }
     }
 
-    fn send(&mut self, from: usize, digest: &LoadDigest, to_mates: bool) {
+    fn send(&mut self, from: usize, digest: &LoadDigest, to_cell: bool) {
         for to in (0..self.vms.len()).filter(|to| *to != from) {
-            let is_mate = self.vms[from].scheduler.is_mate(&member(to).name);
-            let is_lost = self.rng.random_ratio(1, LOST_OF);
-            if is_mate != to_mates || is_lost || self.is_cut(from, to) {
+            let in_cell = self.vms[from].scheduler.is_mate(&member(to).name);
+            let is_lost = self.rng.random_ratio(1, LOSS_INVERSE);
+            if in_cell != to_cell || is_lost || self.is_partitioned(from, to) {
                 continue;
             }
             let envelope = DigestEnvelope { from: member(from).name, digest: digest.clone() };
             let travel = Duration::from_millis(self.rng.random_range(1..40));
-            self.mail.push((self.now + travel, from, to, envelope));
+            self.in_transit.push((self.now + travel, from, to, envelope));
         }
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
-        let cut = self.cut.filter(|(_, until)| self.now < *until);
-        cut.is_some_and(|(side, _)| (from < side) != (to < side))
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
+        let partition = self.partition.filter(|(_, until)| self.now < *until);
+        partition.is_some_and(|(side, _)| (from < side) != (to < side))
     }
 
-    fn hear_digests(&mut self) {
+    fn deliver_digests(&mut self) {
         let now = self.now;
         let (mut due, rest): (Vec<_>, Vec<_>) =
-            self.mail.drain(..).partition(|(at, ..)| *at <= now);
-        self.mail = rest;
+            self.in_transit.drain(..).partition(|(at, ..)| *at <= now);
+        self.in_transit = rest;
         due.sort_by_key(|(at, ..)| *at);
         for (_, from, to, envelope) in due {
-            let is_of_this_life =
-                envelope.digest.incarnation == Incarnation(self.vms[from].started.0);
-            if is_of_this_life {
+            let is_current = envelope.digest.incarnation == Incarnation(self.vms[from].started.0);
+            if is_current {
                 self.vms[to].scheduler.take_digest(now, envelope);
-                self.follow(to);
+                self.apply_decisions(to);
             }
         }
     }
 
-    /// Returns whether a VM keeps to a limit of a target.
+    /// Returns whether a VM knows of a target's limit.
     pub fn knows_limit(&self, vm: usize, target: usize) -> bool {
         self.vms[vm].scheduler.knows_limit(target_key(target))
     }
 
-    /// Returns when requests came to a target that counts, while it named its limit and the fleet had to know.
+    /// Returns when the requests arrived at a target that its VMs had to count against the limit.
     pub fn counted(&self, target: usize) -> Vec<Moment> {
-        let need = self.needs[target];
-        let counts = |it: &&Arrival| it.told && it.at >= need.from && it.at < need.until;
+        let limit = self.limits[target];
+        let counts = |it: &&Arrival| it.limit_known && it.at >= limit.from && it.at < limit.until;
         self.arrivals[target].iter().filter(counts).map(|it| it.at).collect()
     }
 
-    /// Returns the most requests in a window that ends when the fleet must keep to a target's limit.
+    /// Returns the most requests in a window that ends when the fleet must observe a target's
+    /// limit.
     pub fn most_counted(&self, target: usize) -> usize {
-        let bound_from = self.needs[target].from + STABLE_SPAN;
+        let observed_from = self.limits[target].from + FLEET_DELAY;
         let counted = self.counted(target);
         let within = |end: &Moment| {
             let window =
                 counted.iter().filter(|at| **at <= *end && end.since(**at) < crate::WINDOW);
             window.count()
         };
-        counted.iter().filter(|end| **end >= bound_from).map(within).max().unwrap_or(0)
+        counted.iter().filter(|end| **end >= observed_from).map(within).max().unwrap_or(0)
     }
 }
--- a/crates/ryetide-core/tests/target_limit/main.rs
+++ b/crates/ryetide-core/tests/target_limit/main.rs
@@ -1,17 +1,17 @@
-//! Targets that name the requests a second which they take from all VMs together.
+//! Request rate limits that targets announce for all VMs together.
 
 mod arbiters;
 mod fleet;
-mod lines;
+mod sharing;
 
 use std::time::Duration;
 
 use ryetide_core::units::Moment;
 
-/// The span in which requests are counted.
+/// The length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Returns the most of these moments, in order, within one span of [`WINDOW`].
+/// Returns the most of `moments`, which are in order, within one window of length [`WINDOW`].
 fn most_in_window(moments: &[Moment]) -> usize {
     let within = |first: usize| {
         let rest = &moments[first..];
--- a/crates/ryetide-core/tests/target_registry.rs
+++ b/crates/ryetide-core/tests/target_registry.rs
@@ -1,4 +1,4 @@
-//! Which targets there are while their registry comes and goes.
+//! The targets that exist during outages and restores of their registry.
 
 use std::time::Duration;
 
@@ -39,17 +39,18 @@
 }
 
 #[test]
-fn an_entry_that_goes_in_calm_is_a_target_that_is_gone() {
+fn an_entry_removed_without_an_outage_means_a_target_that_is_gone() {
     let mut registry = with_two();
     registry.take(Moment::from_millis(10), gone("a"));
     assert_eq!(names(&mut registry, 10), ["b"]);
 }
 
-/// The store is away for some seconds and every target's entry lapses, though all of them live. The
-/// store comes back, tells that the entries are gone, and half a second later the targets write
-/// themselves in again. Callers who come in that half second must still be served.
+/// Guards against refused callers after an outage of the store. The store is unreachable for some
+/// seconds, so the entries of live targets lapse. When it is back, it reports the entries as
+/// removed, and the targets write them again half a second later. Callers must be served in
+/// between.
 #[test]
-fn entries_that_lapsed_with_their_store_are_kept_until_they_can_be_back() {
+fn entries_that_lapsed_during_an_outage_are_kept_for_the_grace_period() {
     let mut registry = with_two();
     registry.take(Moment::from_millis(1_000), RegistryUpdate::SourceLost);
     assert_eq!(names(&mut registry, 4_000), ["a", "b"]);
@@ -59,13 +60,14 @@
     let back = RegistryUpdate::changed(vec![entry("a")]);
     registry.take(Moment::from_millis(5_500), back);
     assert_eq!(names(&mut registry, 6_500), ["a", "b"]);
-    assert_eq!(names(&mut registry, 6_700), ["a"], "the other did not come back in time");
+    assert_eq!(names(&mut registry, 6_700), ["a"], "the grace period of the other is over");
 }
 
-/// The store was away, and a VM hears of two targets' ends later and later. It waits for both until the same moment:
-/// what it hears late, after a peer's pause, it does not wait for as long again.
+/// After an outage of the store, a VM learns of the removal of two entries at different times. The
+/// grace period ends at the same moment for both: the delay of the peer that forwards the second
+/// one does not extend it.
 #[test]
-fn the_doubt_ends_at_one_moment_whenever_an_end_is_heard_of() {
+fn the_grace_period_ends_at_one_moment_for_all_entries() {
     let mut registry = with_two();
     registry.take(Moment::from_millis(1_000), RegistryUpdate::SourceLost);
     registry.take(Moment::from_millis(5_000), RegistryUpdate::SourceBack);
@@ -75,13 +77,14 @@
     assert!(names(&mut registry, 6_610).is_empty());
     registry.take(Moment::from_millis(6_700), RegistryUpdate::changed(vec![entry("c")]));
     registry.take(Moment::from_millis(6_800), gone("c"));
-    assert!(names(&mut registry, 6_800).is_empty(), "there is no doubt any more");
+    assert!(names(&mut registry, 6_800).is_empty(), "there is no grace period any more");
 }
 
-/// A VM that rests has not lost the store; the peer that passes an end on had, and doubts for 0.3 s yet. So does the
-/// VM, and no longer, however often it is told.
+/// A passive VM has not lost the store itself, but the peer that forwards a removal has, and its
+/// grace period lasts 0.3 s more. The period lasts as long at the passive VM, however often it is
+/// reported.
 #[test]
-fn a_doubt_that_is_passed_on_ends_when_it_does_there() {
+fn a_reported_grace_period_is_not_extended() {
     let mut registry = with_two();
     let left = |millis| RegistryUpdate::SourceDoubtful(Duration::from_millis(millis));
     registry.take(Moment::from_millis(1_000), left(300));
@@ -91,10 +94,10 @@
     assert_eq!(names(&mut registry, 1_310), ["b"]);
 }
 
-/// The store is away, and a target that had said before that it leaves is taken out. It is gone:
-/// nobody waits for it to come back.
+/// During an outage of the store, the entry of a target that has announced that it is leaving is
+/// removed. The target is gone; there is no grace period.
 #[test]
-fn a_leaving_target_is_not_kept() {
+fn a_leaving_target_has_no_grace_period() {
     let mut registry = with_two();
     let leaving = TargetEntry { leaving: true, ..entry("a") };
     let update = RegistryUpdate::changed(vec![leaving]);
@@ -104,9 +107,9 @@
     assert_eq!(names(&mut registry, 31), ["b"]);
 }
 
-fn lived(name: &str, life: u64, port: u16) -> TargetEntry {
+fn incarnation(name: &str, started: u64, port: u16) -> TargetEntry {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    TargetEntry { life: TargetLife(life), address, ..entry(name) }
+    TargetEntry { life: TargetLife(started), address, ..entry(name) }
 }
 
 fn ports(registry: &mut TargetRegistry) -> Vec<u16> {
@@ -114,33 +117,34 @@
     current.iter().map(|target| target.address.port()).collect()
 }
 
-/// A target starts again under its old name at another address, and an entry of its earlier life comes late: in a
-/// reading from the past, and once more after the target is gone. Requests sent to the old address would run
-/// nowhere, or at whoever has it now.
+/// Guards against requests sent to the address of an earlier incarnation, where nothing or another
+/// process listens. A target restarts under its name at another address, and an entry of the
+/// earlier incarnation arrives late: in an outdated snapshot, and again after the target was
+/// removed.
 #[test]
-fn an_entry_of_an_earlier_life_changes_nothing() {
+fn an_entry_of_an_earlier_incarnation_changes_nothing() {
     let mut registry = TargetRegistry::default();
     let now = Moment::from_millis(5);
-    registry.take(now, RegistryUpdate::whole(vec![lived("a", 100, 1)]));
-    registry.take(now, RegistryUpdate::changed(vec![lived("a", 200, 2)]));
+    registry.take(now, RegistryUpdate::whole(vec![incarnation("a", 100, 1)]));
+    registry.take(now, RegistryUpdate::changed(vec![incarnation("a", 200, 2)]));
     assert_eq!(ports(&mut registry), [2]);
-    assert!(registry.is_replaced(&lived("a", 100, 1)));
-    assert!(!registry.is_replaced(&lived("a", 200, 2)));
-    registry.take(now, RegistryUpdate::whole(vec![lived("a", 100, 1)]));
-    registry.take(now, RegistryUpdate::changed(vec![lived("a", 100, 1)]));
+    assert!(registry.is_replaced(&incarnation("a", 100, 1)));
+    assert!(!registry.is_replaced(&incarnation("a", 200, 2)));
+    registry.take(now, RegistryUpdate::whole(vec![incarnation("a", 100, 1)]));
+    registry.take(now, RegistryUpdate::changed(vec![incarnation("a", 100, 1)]));
     assert_eq!(ports(&mut registry), [2]);
     registry.take(now, gone("a"));
-    registry.take(now, RegistryUpdate::changed(vec![lived("a", 100, 1)]));
+    registry.take(now, RegistryUpdate::changed(vec![incarnation("a", 100, 1)]));
     assert!(
         ports(&mut registry).is_empty(),
-        "the earlier life came back after the later one's end"
+        "the earlier incarnation came back after the end of the later one"
     );
 }
 
-/// The store is away and back, and in the same moments a target's row is overwritten by another writer. Missing
-/// rows are waited for; this one is there, and names nobody.
+/// A target's row is overwritten by another writer just after an outage of the store. The grace
+/// period is for missing rows; this row exists, and names no target.
 #[test]
-fn an_overwritten_entry_is_not_waited_for() {
+fn an_overwritten_entry_has_no_grace_period() {
     let mut registry = with_two();
     registry.take(Moment::from_millis(1_000), RegistryUpdate::SourceLost);
     registry.take(Moment::from_millis(5_000), RegistryUpdate::SourceBack);
@@ -150,7 +154,8 @@
     assert_eq!(names(&mut registry, 5_020), ["b"]);
 }
 
-/// Returns a registry of which the source came back at 5 s, from a copy that has both targets as they were.
+/// Returns a registry whose source was restored at 5 s from a copy that holds both targets as they
+/// were.
 fn restored_after(update: RegistryUpdate) -> TargetRegistry {
     let mut registry = with_two();
     registry.take(Moment::from_millis(1_000), update);
@@ -161,9 +166,10 @@
     registry
 }
 
-/// Guards against a copy of the source that makes callers go on to a target whose leaving it does not have yet.
+/// Guards against a restored copy that revokes a target's announcement of leaving, so that callers
+/// are still sent there.
 #[test]
-fn a_copy_takes_no_targets_leaving_back() {
+fn a_restored_copy_revokes_no_notice_of_leaving() {
     let leaving = TargetEntry { leaving: true, ..entry("a") };
     let mut registry = restored_after(RegistryUpdate::changed(vec![leaving]));
     let current = registry.current(Moment::from_millis(5_020));
@@ -171,30 +177,30 @@
     assert_eq!(leaving, [true, false]);
 }
 
-/// Guards against a copy of the source that brings a target back which has gone.
+/// Guards against a restored copy that brings back a removed target.
 #[test]
-fn a_copy_brings_no_target_back() {
+fn a_restored_copy_brings_back_no_removed_target() {
     let mut registry = restored_after(gone("a"));
     assert_eq!(names(&mut registry, 5_020), ["b"]);
     registry.take(Moment::from_millis(6_000), RegistryUpdate::whole(vec![entry("a"), entry("b")]));
-    assert_eq!(names(&mut registry, 6_000), ["b"], "a whole reading may still be of the copy");
+    assert_eq!(names(&mut registry, 6_000), ["b"], "a snapshot may still be of the copy");
 }
 
-/// Guards against a target that lives and is passed over for good, because it had been taken for gone before.
+/// Guards against a live target that is ignored for good because it had been removed before.
 #[test]
-fn a_target_that_writes_its_entry_after_the_copy_is_back() {
+fn a_target_that_writes_its_entry_after_the_restore_is_known_again() {
     let mut registry = restored_after(gone("a"));
     registry.take(Moment::from_millis(6_000), RegistryUpdate::changed(vec![entry("a")]));
     assert_eq!(names(&mut registry, 6_000), ["a", "b"]);
     let mut registry = restored_after(gone("a"));
     let whole = RegistryUpdate::whole(vec![entry("a"), entry("b")]);
     registry.take(Moment::from_millis(16_000), whole);
-    assert_eq!(names(&mut registry, 16_000), ["a", "b"], "one that was not changed, later");
+    assert_eq!(names(&mut registry, 16_000), ["a", "b"], "an unchanged entry counts again later");
 }
 
-/// Guards against a memory that grows with every target that goes.
+/// Guards against unbounded memory for removed targets.
 #[test]
-fn targets_that_have_gone_are_forgotten() {
+fn removed_targets_are_forgotten() {
     let mut registry = restored_after(gone("a"));
     registry.take(Moment::from_millis(70_000), RegistryUpdate::SourceRestored);
     let whole = RegistryUpdate::whole(vec![entry("a"), entry("b")]);
--- a/crates/ryetide-core/tests/target_word.rs
+++ b/crates/ryetide-core/tests/target_word.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves, beside what their registry tells.
+//! Notices in the answers of targets, and how they combine with the registry.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
     wait_line::WaitingWork,
 };
 
-/// The way between two VMs.
-const LATE: Duration = Duration::from_millis(50);
+/// The network delay between two VMs.
+const NETWORK_DELAY: Duration = Duration::from_millis(50);
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
@@ -42,38 +42,39 @@
     current.map(|entry| entry.name.to_string()).collect()
 }
 
-/// A target has said that it leaves. The store, which was away, then tells its old entry; and drops it, and tells it again.
-/// Callers are not sent there whatever it says.
+/// Guards against callers sent to a leaving target. The target has announced that it is leaving.
+/// The store, back after an outage, then returns the old entry of the target, drops it, and returns
+/// it again.
 #[test]
-fn an_older_entry_does_not_take_a_targets_word_back() {
+fn an_older_entry_does_not_revoke_a_notice_of_leaving() {
     let mut registry = TargetRegistry::default();
     registry.take(at(1), RegistryUpdate::whole(vec![entry("a"), entry("b")]));
     assert!(registry.words_mut().note(at(2), entry("a").key()));
-    assert!(!registry.words_mut().note(at(3), entry("a").key()), "it is new once");
+    assert!(!registry.words_mut().note(at(3), entry("a").key()), "only the first notice is new");
     for (time, entries) in [(4, vec!["a", "b"]), (5, vec!["b"]), (6, vec!["a", "b"])] {
         let entries = entries.into_iter().map(entry).collect();
         registry.take(at(time), RegistryUpdate::whole(entries));
         registry.current(at(time));
     }
     assert_eq!(leaving(&mut registry, at(7)), ["a"]);
-    let told = registry.leaving_by_word(at(7));
-    assert!(matches!(told[..], [mark] if mark.target == entry("a").key()), "{told:?}");
+    let reports = registry.leaving_by_word(at(7));
+    assert!(matches!(reports[..], [mark] if mark.target == entry("a").key()), "{reports:?}");
 }
 
-/// Peers are told only what the registry does not tell them.
+/// Peers receive only notices that the registry does not hold.
 #[test]
-fn what_the_registry_tells_is_not_told_again() {
+fn what_the_registry_holds_is_not_reported_to_peers() {
     let mut registry = TargetRegistry::default();
-    let said = TargetEntry { leaving: true, ..entry("a") };
-    registry.take(at(1), RegistryUpdate::whole(vec![said]));
+    let announced = TargetEntry { leaving: true, ..entry("a") };
+    registry.take(at(1), RegistryUpdate::whole(vec![announced]));
     registry.words_mut().note(at(2), entry("a").key());
     assert!(registry.leaving_by_word(at(3)).is_empty());
 }
 
-/// Where targets keep their names, one that has left and started again gets work again in the end, though two VMs go on
-/// telling each other what it said.
+/// Guards against notices that VMs keep alive by reporting them to each other. Where targets keep
+/// their names, a restarted target must get requests again at some time.
 #[test]
-fn words_are_forgotten_while_vms_tell_each_other() {
+fn notices_expire_while_vms_report_them_to_each_other() {
     let (mut here, mut there) = (TargetRegistry::default(), TargetRegistry::default());
     for registry in [&mut here, &mut there] {
         registry.take(at(1), RegistryUpdate::whole(vec![entry("a")]));
@@ -82,10 +83,10 @@
     for second in 1..1_300 {
         let now = at(second * 1_000);
         for mark in here.leaving_by_word(now) {
-            there.words_mut().take(now + LATE, mark);
+            there.words_mut().take(now + NETWORK_DELAY, mark);
         }
         for mark in there.leaving_by_word(now) {
-            here.words_mut().take(now + LATE, mark);
+            here.words_mut().take(now + NETWORK_DELAY, mark);
         }
         here.current(now);
         there.current(now);
@@ -94,20 +95,21 @@
     assert!(leaving(&mut here, now).is_empty() && leaving(&mut there, now).is_empty());
 }
 
-/// What targets said stays small, however many come and go.
+/// Guards against notices that accumulate as targets come and go.
 #[test]
-fn words_are_bounded() {
+fn notices_are_bounded() {
     let mut registry = TargetRegistry::default();
     for target in 0..10_000 {
         registry.words_mut().note(at(u64::from(target)), TargetKey(target));
     }
     let known = (0..10_000).filter(|it| registry.words_mut().holds(TargetKey(*it))).count();
-    assert!(known <= 1_024, "{known} words are remembered");
+    assert!(known <= 1_024, "{known} notices are remembered");
 }
 
-/// A limit that is no number, or none that holds, must not be taken for the end of one; of several the least holds.
+/// A value that is not a number, or not a valid limit, must not count as the end of a limit; the
+/// lowest of several applies.
 #[test]
-fn a_limit_is_read_as_it_is_named() {
+fn limit_headers_are_parsed() {
     let read = |values: &[&str]| LimitWord::read(values.iter().map(|value| Some(*value)));
     let named = |thousandths| LimitWord::Named(RequestRate(thousandths));
     assert_eq!(read(&[]), LimitWord::Unnamed);
@@ -157,14 +159,14 @@
     }
 }
 
-/// All targets want nothing for ten seconds, and a caller leaves after four: it is told at once to come back, and at a time
-/// when somebody will take it.
+/// All targets request a back-off of ten seconds or more, and the caller waits at most four: the
+/// request is refused at once, with a retry delay after which a target accepts it.
 #[test]
-fn callers_who_would_wait_in_vain_are_told_at_once_when_to_come_back() {
+fn requests_that_would_wait_in_vain_are_refused_with_a_retry_delay() {
     let mut scheduler = scheduler(&["a", "b"]);
     let now = at(1_000);
-    let wanted = [("a", 10), ("b", 15)];
-    for (name, seconds) in wanted {
+    let back_offs = [("a", 10), ("b", 15)];
+    for (name, seconds) in back_offs {
         scheduler.hold_off(now, entry(name).key(), Duration::from_secs(seconds));
     }
     scheduler.enter(now, work(1, now, Duration::from_secs(4)));
@@ -176,9 +178,10 @@
     assert!(retry_after >= Duration::from_secs(10), "{retry_after:?}");
 }
 
-/// They want nothing for one second: a caller who stays for four waits, and gets its place then.
+/// The target requests a back-off of one second: a caller who waits four seconds is queued and gets
+/// a slot then.
 #[test]
-fn callers_who_stay_longer_wait_for_their_place() {
+fn callers_who_outwait_the_back_off_get_a_slot() {
     let mut scheduler = scheduler(&["a"]);
     let now = at(1_000);
     let span = Duration::from_secs(1);
@@ -188,7 +191,7 @@
     while scheduler.take_decisions().is_empty() {
         time = time + Duration::from_millis(5);
         scheduler.advance(time);
-        assert!(time < now + span * 4, "it gets its place");
+        assert!(time < now + span * 4, "the request gets a slot");
     }
     assert!(time >= now + span);
 }
--- a/crates/ryetide-core/tests/watch_duty.rs
+++ b/crates/ryetide-core/tests/watch_duty.rs
@@ -1,4 +1,4 @@
-//! Who watches the source of routes and targets, and how soon somebody takes over.
+//! Selection of the VMs that watch the source of routes and targets.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,10 +14,10 @@
     watch_duty::{WATCHER_COUNT, WatchNote, WatchOrder},
 };
 
-/// VMs that have nothing else to tell send a digest this often.
-const DIGEST_STEP: u64 = 400;
+/// The interval between two digests of an idle VM.
+const DIGEST_INTERVAL: u64 = 400;
 
-/// VMs of one data centre that hear each other's digests.
+/// VMs of one data centre that receive each other's digests.
 struct Fleet {
     vms: Vec<(VmName, Scheduler)>,
     silent: BTreeSet<VmName>,
@@ -47,12 +47,12 @@
         Self { vms: vms.collect(), silent, without_source, now: 1 }
     }
 
-    /// Lets every VM that is not silent tell one digest to all others.
-    fn tell(&mut self) {
-        self.now += DIGEST_STEP;
+    /// Sends a digest from every VM that is not silent to all others.
+    fn send_digests(&mut self) {
+        self.now += DIGEST_INTERVAL;
         let now = Moment::from_millis(self.now);
-        for teller in 0..self.vms.len() {
-            let (name, scheduler) = &mut self.vms[teller];
+        for sender in 0..self.vms.len() {
+            let (name, scheduler) = &mut self.vms[sender];
             if self.silent.contains(name) {
                 continue;
             }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the VMs that watch and can.
+    /// Returns the VMs that watch and can reach the source.
     fn watchers(&self) -> BTreeSet<VmName> {
         let now = Moment::from_millis(self.now);
         let able =
@@ -80,29 +80,31 @@
     }
 }
 
-/// Eight VMs rely on their own calls: what two of them would save is not worth the others' delay.
+/// In a deployment of eight VMs, all watch: fewer calls would not be worth the delay of updates for
+/// the others.
 #[test]
 fn all_vms_of_a_small_deployment_watch() {
     let mut fleet = Fleet::new(8);
-    (0..5).for_each(|_| fleet.tell());
+    (0..5).for_each(|_| fleet.send_digests());
     assert_eq!(fleet.watchers().len(), 8);
 }
 
-/// Each call that is open at the store is answered at every change, and paid for. In a large deployment two
-/// VMs of each cell have theirs open, and the others none.
+/// Guards against needless calls. Each call that is open at the store is answered at every change,
+/// and billed. In a large deployment only two VMs of each cell hold calls open.
 #[test]
 fn two_vms_of_each_cell_watch() {
     let mut fleet = Fleet::new(32);
-    assert_eq!(fleet.watchers().len(), 32, "nobody was heard yet");
-    (0..5).for_each(|_| fleet.tell());
+    assert_eq!(fleet.watchers().len(), 32, "no digest received yet");
+    (0..5).for_each(|_| fleet.send_digests());
     assert_eq!(fleet.watchers().len(), 4 * WATCHER_COUNT);
 }
 
-/// A change is told to all mates of those that watch, and routes with the keys of all organisations are long: over a
-/// slow link most of it was lost, and callers were served by replaced routes for half a second more. Of eleven VMs
-/// that are one cell the three with fast links go first; when they die, others take over all the same.
+/// Guards against watching VMs with slow links. A watching VM sends each change to all peers of its
+/// cell, and routes with the keys of all organisations are long: a slow link loses most of the
+/// datagrams, and callers are served by outdated routes for half a second longer. Of eleven VMs in
+/// a single cell, the three with fast links watch first; when they die, others take over.
 #[test]
-fn those_with_fast_links_watch_first() {
+fn vms_with_fast_links_watch_first() {
     let mut fleet = Fleet::new(11);
     let fast = ["e2", "e7", "e9"].map(VmName::from);
     let link = |name: &VmName| LinkRate(if fast.contains(name) { 200 } else { 20 });
@@ -110,60 +112,63 @@
     for (_, scheduler) in &mut fleet.vms {
         scheduler.set_watch_order(WatchOrder::new(links.clone()));
     }
-    (0..5).for_each(|_| fleet.tell());
+    (0..5).for_each(|_| fleet.send_digests());
     let relays = |fleet: &Fleet| -> BTreeSet<VmName> {
         let now = Moment::from_millis(fleet.now);
-        let heard = fleet.vms.iter().filter(|(name, _)| !fleet.silent.contains(name));
-        let relays = heard.filter(|(_, scheduler)| scheduler.is_relay(now));
+        let running = fleet.vms.iter().filter(|(name, _)| !fleet.silent.contains(name));
+        let relays = running.filter(|(_, scheduler)| scheduler.is_relay(now));
         relays.map(|(name, _)| name.clone()).collect()
     };
     let before = relays(&fleet);
     assert_eq!(before.len(), WATCHER_COUNT);
     assert!(before.iter().all(|name| fast.contains(name)), "{before:?}");
     fleet.silent = fast.into();
-    (0..4).for_each(|_| fleet.tell());
-    assert_eq!(relays(&fleet).len(), WATCHER_COUNT, "others pass on");
+    (0..4).for_each(|_| fleet.send_digests());
+    assert_eq!(relays(&fleet).len(), WATCHER_COUNT, "others forward changes");
 }
 
-/// Both VMs of a cell that watch freeze at one moment, and later wake. Callers of the whole cell would be
-/// served by old routes and sent to targets that have left, if nobody took over: others do within 1.2 s.
+/// Guards against a cell without updates. Both watching VMs of a cell freeze at the same time, and
+/// later wake up. Unless others take over, callers of the whole cell are served by old routes and
+/// sent to targets that have left. Others take over within 1.2 s.
 #[test]
-fn others_take_over_from_vms_that_fall_silent() {
+fn others_take_over_from_silent_vms() {
     let mut fleet = Fleet::new(32);
-    (0..5).for_each(|_| fleet.tell());
+    (0..5).for_each(|_| fleet.send_digests());
     let before = fleet.watchers();
     fleet.silent = before.clone();
-    (0..3).for_each(|_| fleet.tell());
+    (0..3).for_each(|_| fleet.send_digests());
     let after = fleet.watchers();
     assert_eq!(after.len(), 4 * WATCHER_COUNT, "{after:?}");
     assert!(after.is_disjoint(&before));
     fleet.silent.clear();
-    (0..3).for_each(|_| fleet.tell());
+    (0..3).for_each(|_| fleet.send_digests());
     assert_eq!(fleet.watchers(), before, "the first in order watch again");
 }
 
-/// The store turns the VMs away that watch, and would serve the others. They are still heard, so it is their
-/// own word that makes the others take over.
+/// Guards against a cell without updates when the store refuses only the watching VMs. They are
+/// still reachable, so the others must learn from their digests that they have lost the source.
 #[test]
 fn others_take_over_from_vms_that_have_lost_the_source() {
     let mut fleet = Fleet::new(32);
-    (0..5).for_each(|_| fleet.tell());
+    (0..5).for_each(|_| fleet.send_digests());
     fleet.without_source = fleet.watchers();
-    (0..2).for_each(|_| fleet.tell());
+    (0..2).for_each(|_| fleet.send_digests());
     assert_eq!(fleet.watchers().len(), 4 * WATCHER_COUNT);
 }
 
-/// A change is passed on by the VMs that watch, to those that do not: a VM that rests, or has lost the source.
+/// Watching VMs forward changes to those that do not watch: passive VMs, and VMs that have lost the
+/// source.
 #[test]
-fn those_that_watch_pass_on_to_those_that_do_not() {
+fn watching_vms_forward_changes_to_the_others() {
     let mut fleet = Fleet::new(8);
     let cut_off = fleet.vms[3].0.clone();
     fleet.without_source.insert(cut_off.clone());
-    (0..3).for_each(|_| fleet.tell());
+    (0..3).for_each(|_| fleet.send_digests());
     let now = Moment::from_millis(fleet.now);
     let relays = fleet.vms.iter().filter(|(_, scheduler)| scheduler.is_relay(now));
     let relays: Vec<&Scheduler> = relays.map(|(_, scheduler)| scheduler).collect();
-    // The VM that is cut off may take itself for one of them; it has nothing to pass on.
+    // The VM that has lost the source may take itself for a watching one, but has nothing to
+    // forward.
     assert!((WATCHER_COUNT..=WATCHER_COUNT + 1).contains(&relays.len()), "{}", relays.len());
     let mut others = fleet.vms.iter().map(|(name, _)| name).filter(|name| **name != cut_off);
     assert!(relays.iter().all(|relay| relay.relies_on_relays(now, &cut_off)));
