--- a/crates/ryetide-core/src/rollout_desk.rs
+++ b/crates/ryetide-core/src/rollout_desk.rs
@@ -1,7 +1,9 @@
-//! Which versions of each service get work at one entry VM, and the orders that change that.
+//! Tracks which versions of each service may get requests from one entry VM, and the rollout orders
+//! that change this.
 //!
-//! A version is in use when it was there before any order, or an order for it was completed. One that an order names
-//! gets what [`ServiceRollout`] lets it have; any other gets nothing, as long as a version that is in use has a target.
+//! A version is in use if it existed before any order, or if an order for it was completed. The
+//! version that an order names gets the share that [`ServiceRollout`] permits. All others get
+//! nothing, as long as a version that is in use has a target.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,27 +12,30 @@
     ids::{Incarnation, ServiceKey, ServiceName, TargetKey, VersionName, VmName},
     rollout_evidence::{RunNote, VersionSide},
     rollout_order::{RolloutDuty, RolloutOrder, RolloutReport, RolloutRule},
-    service_rollout::{self, FleetSight, RolloutChange, RolloutMark, RolloutScene, ServiceRollout},
+    service_rollout::{
+        self, FleetSight, RolloutChange, RolloutContext, RolloutMark, ServiceRollout,
+    },
     target_load::TargetEntry,
     units::Moment,
 };
 
-/// Services whose versions and orders are remembered. Services come and go for as long as a VM runs; beyond this those
-/// without a target are forgotten.
+/// The number of services whose versions and orders are kept. Services come and go while a VM runs;
+/// above this limit those without a target are dropped.
 const SERVICES_LIMIT: usize = 1_024;
-/// Versions of one service that are remembered as in use.
+/// The greatest number of versions of one service that are kept as in use.
 const VERSIONS_LIMIT: usize = 16;
-/// How long a mark is told after its order has ended: until those hear it that were cut off meanwhile.
-const ENDED_TOLD: Duration = Duration::from_secs(60);
+/// How long progress is still reported to peers after the time of an order is over, for VMs that
+/// were partitioned when it ended.
+const ENDED_REPORT_SPAN: Duration = Duration::from_secs(60);
 
-/// What a target may get.
+/// Which requests a target may get, by its version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TargetUse {
-    /// Any work.
+    /// Any request.
     Serving,
-    /// A bounded share, while its version is on trial.
+    /// A bounded share of the requests, while its version is on trial.
     Trial,
-    /// Nothing new.
+    /// No new requests.
     Closed,
 }
 
@@ -38,37 +43,40 @@
 struct ServiceVersions {
     in_use: Vec<VersionName>,
     rollout: Option<ServiceRollout>,
-    /// The order before that one. A copy of the operators' table may bring it back.
+    /// The order before that one. It may reappear when the operators' table is restored from a
+    /// backup.
     previous: Option<RolloutOrder>,
-    /// Targets of versions in use that may get work, and of the ordered one.
+    /// The number of targets that are not leaving, of versions in use and of the ordered version.
     live_in_use: usize,
     live_new: usize,
 }
 
-/// The versions of all services.
+/// Manages the versions of all services and the rollout orders for them.
 #[derive(Debug)]
 pub struct RolloutDesk {
     own: VmName,
     rule: RolloutRule,
     services: BTreeMap<ServiceName, ServiceVersions>,
-    /// Whether the targets have been told, so that what there is now was there before an order that comes next.
+    /// Whether a list of targets has been received. Versions in the first list existed before any
+    /// later order; a version that appears after it needs an order of its own.
     knows_targets: bool,
-    /// Reports of orders that have not come here yet are not kept: they are asked for.
+    /// State transitions that have not been taken by [`take_changes`](Self::take_changes) yet.
+    /// Reports of orders that are unknown here are dropped: once an order arrives, its row is read.
     changes: Vec<RolloutChange>,
 }
 
 impl RolloutDesk {
-    /// Creates a desk that knows no service.
+    /// Creates a manager without any service.
     pub fn new(own: VmName, rule: RolloutRule) -> Self {
         Self { own, rule, services: BTreeMap::new(), knows_targets: false, changes: Vec::new() }
     }
 
-    /// Replaces the rule, for orders that come from now on.
+    /// Replaces the rule for orders that arrive from now on.
     pub fn set_rule(&mut self, rule: RolloutRule) {
         self.rule = rule;
     }
 
-    /// Takes the targets that there are.
+    /// Replaces the list of targets.
     pub fn take_targets(&mut self, now: Moment, entries: &[TargetEntry]) {
         for versions in self.services.values_mut() {
             (versions.live_in_use, versions.live_new) = (0, 0);
@@ -93,7 +101,7 @@
         }
     }
 
-    /// Takes an order, unless a later one for its service is known.
+    /// Adopts an order, unless a later one for its service is known.
     pub fn take_order(&mut self, now: Moment, order: RolloutOrder) {
         let versions = self.services.entry(order.service.clone()).or_default();
         if let Some(rollout) = &mut versions.rollout {
@@ -102,12 +110,12 @@
                 return;
             }
             if order.is_again(known) {
-                rollout.note_again(order.number);
+                rollout.renumber(order.number);
                 versions.previous = None;
                 return;
             }
             if versions.previous.as_ref().is_some_and(|previous| order.is_again(previous)) {
-                // The copy lacks the order in force, which is written again.
+                // The backup does not hold the order in force. That one will be written again.
                 return;
             }
             versions.previous = Some(known.clone());
@@ -116,37 +124,40 @@
         self.collect_changes();
     }
 
-    /// Takes what the operators' row says.
+    /// Applies the status in the operators' row.
     pub fn take_report(&mut self, now: Moment, report: &RolloutReport) {
         let Some(versions) = self.services.get_mut(&report.service) else { return };
         versions.with_rollout(|rollout| rollout.take_report(now, report));
         self.collect_changes();
     }
 
-    /// Takes what a peer tells. Orders that are not known here come by the operators' table.
+    /// Applies a peer's progress reports. Reports of orders that are unknown here are ignored,
+    /// since the orders themselves are read from the operators' table.
     pub fn take_marks(
         &mut self,
         now: Moment,
         from: &VmName,
         incarnation: Incarnation,
-        marks: &[RolloutMark],
+        reports: &[RolloutMark],
     ) {
-        for mark in marks {
+        for progress in reports {
             let mut services = self.services.iter_mut();
-            let found = services.find(|(name, _)| ServiceKey::of(name) == mark.service);
+            let found = services.find(|(name, _)| ServiceKey::of(name) == progress.service);
             if let Some((_, versions)) = found {
-                versions.with_rollout(|rollout| rollout.take_mark(now, from, incarnation, mark));
+                versions.with_rollout(|rollout| {
+                    rollout.take_progress(now, from, incarnation, progress)
+                });
             }
         }
         self.collect_changes();
     }
 
-    /// Returns what a target may get.
+    /// Returns which requests a target may get.
     pub fn target_use(&self, entry: &TargetEntry) -> TargetUse {
         self.services.get(&entry.service).map_or(TargetUse::Serving, |it| it.target_use(entry))
     }
 
-    /// Returns the side on which a target counts, while an order for its service is under way.
+    /// Returns the side to which a target belongs while an order for its service is in progress.
     pub fn side(&self, entry: &TargetEntry) -> Option<VersionSide> {
         let rollout = self.services.get(&entry.service)?.rollout.as_ref()?;
         if rollout.is_ended() {
@@ -156,87 +167,97 @@
         Some(if is_new { VersionSide::New } else { VersionSide::Old })
     }
 
-    /// Returns the order for a service that is under way.
+    /// Returns the order for a service that is in progress, if any.
     pub fn rollout(&self, service: &ServiceName) -> Option<&ServiceRollout> {
         let rollout = self.services.get(service)?.rollout.as_ref()?;
         (!rollout.is_ended()).then_some(rollout)
     }
 
-    /// Returns the last orders that are known, of all services.
+    /// Returns the latest known order of each service, in progress or ended.
     pub fn rollouts(&self) -> impl Iterator<Item = &ServiceRollout> {
         self.services.values().filter_map(|versions| versions.rollout.as_ref())
     }
 
-    /// Returns those of a service's targets that are on trial and may get one more request now.
+    /// Returns the subset of a service's `targets` on trial that may get one more request now.
     pub fn trial_targets(
         &self,
         now: Moment,
         service: &ServiceName,
-        sight: &FleetSight,
+        reachability: &FleetSight,
         targets: &[TargetKey],
     ) -> Vec<TargetKey> {
         let rollout = self.rollout(service);
-        rollout.map_or_else(Vec::new, |it| it.slice(now, sight, targets.to_vec()))
+        rollout.map_or_else(Vec::new, |it| it.slice(now, reachability, targets.to_vec()))
     }
 
-    /// Notes that a request was placed.
+    /// Counts a request that was placed.
     pub fn note_placed(&mut self, now: Moment, entry: &TargetEntry) {
         let Some(side) = self.side(entry) else { return };
         if let Some(versions) = self.services.get_mut(&entry.service) {
-            versions.with_rollout(|rollout| rollout.note_placed(now, side));
+            versions.with_rollout(|rollout| rollout.record_placed(now, side));
         }
     }
 
-    /// Notes how a run has ended.
-    pub fn note_run(&mut self, now: Moment, entry: &TargetEntry, note: RunNote) {
+    /// Adds the result of a run to the evidence of the order in progress, if any.
+    pub fn note_run(&mut self, now: Moment, entry: &TargetEntry, sample: RunNote) {
         let Some(side) = self.side(entry) else { return };
         if let Some(versions) = self.services.get_mut(&entry.service) {
-            versions.with_rollout(|rollout| rollout.note_run(now, side, note));
+            versions.with_rollout(|rollout| rollout.record_run(now, side, sample));
         }
     }
 
-    /// Does what has fallen due; `left` tells how many requests of this VM are at old targets of a service.
-    pub fn advance(&mut self, now: Moment, sight: &FleetSight, left: impl Fn(&ServiceName) -> u32) {
+    /// Evaluates all orders. `in_flight_old` returns the number of this VM's requests that are in
+    /// flight at old targets of a service.
+    pub fn advance(
+        &mut self,
+        now: Moment,
+        reachability: &FleetSight,
+        in_flight_old: impl Fn(&ServiceName) -> u32,
+    ) {
         for (name, versions) in &mut self.services {
             let new_targets = versions.live_new;
             versions.with_rollout(|rollout| {
-                let scene = RolloutScene { sight: *sight, new_targets, left: left(name) };
-                rollout.advance(now, &scene);
+                let (reachability, in_flight_old) = (*reachability, in_flight_old(name));
+                let context = RolloutContext { reachability, new_targets, in_flight_old };
+                rollout.advance(now, &context);
             });
         }
         self.collect_changes();
     }
 
-    /// Returns what this VM must do at the operators' rows now. `others` are the VMs that are heard.
+    /// Returns the tasks that this VM must do at the operators' rows now. `others` are the VMs that
+    /// it hears from.
     pub fn duties(&self, now: Moment, others: &[VmName]) -> Vec<RolloutDuty> {
         let due = |rollout: &ServiceRollout| {
-            let place = |vm| service_rollout::duty_place(rollout.order(), vm);
-            let own = place(&self.own);
-            rollout.duty(now, others.iter().filter(|vm| place(vm) < own).count())
+            let rank = |vm| service_rollout::duty_rank(rollout.order(), vm);
+            let own = rank(&self.own);
+            rollout.duty(now, others.iter().filter(|vm| rank(vm) < own).count())
         };
         self.rollouts().filter_map(due).collect()
     }
 
-    /// Returns what peers are told.
+    /// Returns the progress reports for peers.
     pub fn marks(
         &self,
         now: Moment,
         with_tallies: bool,
-        left: impl Fn(&ServiceName) -> u32,
+        in_flight_old: impl Fn(&ServiceName) -> u32,
     ) -> Vec<RolloutMark> {
-        let told = self.rollouts().filter(|rollout| {
-            !rollout.is_ended() || rollout.age(now) < rollout.order().duration + ENDED_TOLD
+        let reported = self.rollouts().filter(|rollout| {
+            !rollout.is_ended() || rollout.age(now) < rollout.order().duration + ENDED_REPORT_SPAN
         });
-        told.map(|rollout| rollout.mark(now, left(&rollout.order().service), with_tallies))
-            .collect()
+        let progress_of = |rollout: &ServiceRollout| {
+            rollout.progress(now, in_flight_old(&rollout.order().service), with_tallies)
+        };
+        reported.map(progress_of).collect()
     }
 
-    /// Returns the steps that orders have taken since the last call.
+    /// Returns the state transitions of all orders since the last call.
     pub fn take_changes(&mut self) -> Vec<RolloutChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns whether an order has taken a step that was not taken note of yet.
+    /// Returns whether there are state transitions that have not been taken yet.
     pub fn has_changes(&self) -> bool {
         !self.changes.is_empty()
     }
@@ -258,7 +279,7 @@
         let (new, old): (Vec<&TargetEntry>, Vec<&TargetEntry>) =
             staying.partition(|entry| Some(&entry.version) == ordered.as_ref());
         self.live_new = new.len();
-        // One that appears beside others needs an order; the first ones that are seen do not.
+        // A version that appears beside others needs an order; the first ones that are seen do not.
         let is_first = self.in_use.is_empty();
         if is_first || !by_order_only {
             for version in others {
@@ -306,7 +327,7 @@
             (Some(RolloutState::Trial), true) => TargetUse::Trial,
             (Some(RolloutState::Moving | RolloutState::Emptied), true) => TargetUse::Serving,
             (Some(_), true) => TargetUse::Closed,
-            // What is new goes to the new version, as long as that has targets.
+            // New requests go to the new version, as long as it has targets.
             (Some(RolloutState::Moving | RolloutState::Emptied), false) if self.live_new > 0 => {
                 TargetUse::Closed
             }
--- a/crates/ryetide-core/src/rollout_evidence.rs
+++ b/crates/ryetide-core/src/rollout_evidence.rs
@@ -1,7 +1,8 @@
-//! What the answers of a service's two versions were like, as all VMs have seen them together.
+//! Counts the answers of the old and the new version of a service, over all VMs.
 //!
-//! Each VM counts its own answers by target and route and tells its counts to the others as they are, not as changes, so
-//! that a digest which is lost or comes twice does no harm. What a VM told before it ended still counts.
+//! Each VM counts its own answers by target and route and sends its totals, not increments, to the
+//! other VMs, so that a lost or duplicated digest does no harm. The last totals of a VM still count
+//! after it has restarted or stopped.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -15,40 +16,43 @@
     units::Moment,
 };
 
-/// Times of the old version's answers that are remembered for each route.
-const SPANS_KEPT: usize = 48;
-/// Times older than this say nothing about the load of now.
-const SPANS_LIFE: Duration = Duration::from_secs(12);
-/// With fewer times of the old version no answer is held against them.
-const SPANS_LEAST: usize = 6;
-/// The part of the old version's answers that are faster than one that counts as slow.
+/// The number of recent response times of the old version that are kept for each route.
+const PACES_LIMIT: usize = 48;
+/// Response times older than this say nothing about the current load.
+const PACE_TTL: Duration = Duration::from_secs(12);
+/// With fewer response times of the old version, no answer is compared with them.
+const MIN_PACES: usize = 6;
+/// An answer counts as slow when it took longer than this quantile of the old version's times.
 const SLOW_QUANTILE: f64 = 0.8;
-/// What counts as lately: long enough for enough answers, short enough that what came before does not outweigh them.
+/// The window for recent answers: long enough to hold a sufficient number of them, short enough
+/// that earlier answers do not outweigh them.
 const RECENT_SPAN: Duration = Duration::from_secs(3);
-/// How often the sum is remembered for that.
-const SUM_INTERVAL: Duration = Duration::from_millis(500);
-/// Routes of one service that are told apart, by their first answers; those of others count together.
+/// The interval between snapshots of the totals, from which the recent answers are computed.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
+/// The number of routes of a service that are counted separately: those that were answered first.
+/// Answers on all other routes are counted together.
 const ROUTES_LIMIT: usize = 6;
-/// Targets whose answers a VM counts.
+/// The number of targets of each version whose answers a VM counts.
 const TARGETS_LIMIT: usize = 64;
-/// VMs whose counts are remembered.
+/// The number of peers whose counts are kept.
 const VMS_LIMIT: usize = 2_048;
 
-/// Answers of one target on one route.
+/// Counts of answers, such as those of one target on one route.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct AnswerCount {
-    /// Those that have ended, whole or not.
+    /// Answers that have ended, completed or not.
     pub answers: u32,
-    /// Those that failed.
+    /// Answers that failed.
     pub failed: u32,
-    /// Whole ones whose times were held against the old version's on the same route at the same time.
+    /// Completed answers whose time was compared with those of the old version on the same route at
+    /// the same time.
     pub timed: u32,
-    /// Those of them that were slower than most of the old version's.
+    /// Those of `timed` that were slower than most answers of the old version.
     pub slow: u32,
 }
 
 impl AnswerCount {
-    /// Returns the sum of both.
+    /// Returns the sum of both counts.
     pub fn plus(self, other: Self) -> Self {
         Self {
             answers: self.answers.saturating_add(other.answers),
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Returns what was counted beyond an earlier count.
+    /// Returns the increase since an earlier count.
     pub fn minus(self, earlier: Self) -> Self {
         Self {
             answers: self.answers.saturating_sub(earlier.answers),
@@ -69,38 +73,39 @@
     }
 }
 
-/// Which of a service's versions a target runs.
+/// Whether a target runs the old or the new version of its service.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub enum VersionSide {
-    /// One that was in use when the order came.
+    /// Any version other than the one that the order names.
     Old,
-    /// The one that the order names.
+    /// The version that the order names.
     New,
 }
 
-/// Whose answers are counted together.
+/// The key under which answers are counted together.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct TallyKey {
     /// The version.
     pub side: VersionSide,
-    /// Whether it ran while few targets got the trial's requests, and so as full as the old ones.
+    /// Whether the request was sent in a narrow slice of the trial, in which few targets get the
+    /// trial requests and are as loaded as the old ones.
     pub narrow: bool,
-    /// The route, or none for all routes beyond those that are told apart.
+    /// The route, or `None` for all routes that are not counted separately.
     pub route: Option<RouteKey>,
     /// The target.
     pub target: TargetKey,
 }
 
-/// One line of what a VM tells of its answers.
+/// The answers counted under one key, as a VM reports them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct AnswerTally {
-    /// Whose answers.
+    /// The key.
     pub key: TallyKey,
-    /// How many.
+    /// The counts.
     pub count: AnswerCount,
 }
 
-/// How one run at a target has ended.
+/// The result of one run at a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RunNote {
     /// The target.
@@ -109,62 +114,69 @@
     pub route: RouteKey,
     /// When it was sent.
     pub sent: Moment,
-    /// The time that its answer took, for each of its pieces; nothing where it failed.
+    /// The time that its answer took for each of its pieces, or `None` if it failed.
     pub pace: Option<Duration>,
 }
 
-/// Answers by whose they are.
+/// Counts of answers by key.
 pub type Tallies = BTreeMap<TallyKey, AnswerCount>;
 
-/// The answers that count for one order.
+/// The answers that count as evidence for one order.
 #[derive(Debug, Default)]
 pub struct RolloutEvidence {
     own: Tallies,
     peers: HashMap<VmName, (Incarnation, Tallies)>,
-    /// Of lives of VMs that have ended.
+    /// The sum of the last reports of earlier incarnations of peers.
     ended: Tallies,
-    /// Sums of a while ago, oldest first.
-    earlier: VecDeque<(Moment, Tallies)>,
-    /// When the old version's answers came, and their paces.
-    spans: BTreeMap<Option<RouteKey>, VecDeque<(Moment, Duration)>>,
+    /// Snapshots of the totals, oldest first.
+    snapshots: VecDeque<(Moment, Tallies)>,
+    /// The paces of the old version's recent answers by route, with the times at which they ended.
+    old_paces: BTreeMap<Option<RouteKey>, VecDeque<(Moment, Duration)>>,
 }
 
 impl RolloutEvidence {
-    /// Counts a run of this VM. The time of one that ran in a narrow slice of a trial is not held against the old
-    /// version's.
-    pub fn note(&mut self, now: Moment, side: VersionSide, note: RunNote, narrow: bool) {
-        let route = self.route_of(note.route);
-        let pace = note.pace.filter(|_| !narrow);
+    /// Counts a run of this VM.
+    ///
+    /// The time of a run in a narrow slice of a trial is not compared with those of the old
+    /// version.
+    pub fn record(&mut self, now: Moment, side: VersionSide, sample: RunNote, narrow: bool) {
+        let route = self.route_of(sample.route);
+        let pace = sample.pace.filter(|_| !narrow);
         let slow = pace.and_then(|pace| self.is_slow(now, route, pace));
-        if let (VersionSide::Old, Some(pace)) = (side, note.pace) {
-            let spans = self.spans.entry(route).or_default();
-            spans.push_back((now, pace));
-            if spans.len() > SPANS_KEPT {
-                spans.pop_front();
+        if let (VersionSide::Old, Some(pace)) = (side, sample.pace) {
+            let paces = self.old_paces.entry(route).or_default();
+            paces.push_back((now, pace));
+            if paces.len() > PACES_LIMIT {
+                paces.pop_front();
             }
         }
-        let key = TallyKey { side, narrow, route, target: note.target };
+        let key = TallyKey { side, narrow, route, target: sample.target };
         if self.own.len() >= TARGETS_LIMIT * ROUTES_LIMIT * 2 && !self.own.contains_key(&key) {
             return;
         }
         let one = AnswerCount {
             answers: 1,
-            failed: u32::from(note.pace.is_none()),
+            failed: u32::from(sample.pace.is_none()),
             timed: u32::from(slow.is_some()),
             slow: u32::from(slow == Some(true)),
         };
         add(&mut self.own, key, one);
     }
 
-    /// Takes what a peer has counted in this life of its process.
-    pub fn take(&mut self, from: &VmName, incarnation: Incarnation, told: &[AnswerTally]) {
+    /// Replaces the counts of a peer. Those of its earlier incarnation are kept in addition.
+    pub fn take_peer_tallies(
+        &mut self,
+        from: &VmName,
+        incarnation: Incarnation,
+        reported: &[AnswerTally],
+    ) {
         if self.peers.len() >= VMS_LIMIT && !self.peers.contains_key(from) {
             return;
         }
-        let told: Tallies = told.iter().map(|tally| (tally.key, tally.count)).collect();
-        match self.peers.insert(from.clone(), (incarnation, told)) {
-            Some((before, counted)) if before != incarnation => {
-                for (key, count) in counted {
+        let tallies: Tallies = reported.iter().map(|tally| (tally.key, tally.count)).collect();
+        match self.peers.insert(from.clone(), (incarnation, tallies)) {
+            Some((before, last_tallies)) if before != incarnation => {
+                for (key, count) in last_tallies {
                     add(&mut self.ended, key, count);
                 }
             }
@@ -172,8 +184,8 @@
         }
     }
 
-    /// Returns what this VM tells.
-    pub fn told(&self) -> Vec<AnswerTally> {
+    /// Returns the counts of this VM, for reports to its peers.
+    pub fn own_tallies(&self) -> Vec<AnswerTally> {
         self.own.iter().map(|(key, count)| AnswerTally { key: *key, count: *count }).collect()
     }
 
@@ -187,18 +199,21 @@
         total
     }
 
-    /// Returns the answers that all VMs have counted lately, and remembers the sum for later.
+    /// Returns the recent answers that all VMs have counted, and adds a snapshot of `total` when
+    /// one is due.
     ///
-    /// A version that turns bad after a while has many good answers behind it, among which the bad ones are few.
+    /// A version that starts to fail after a while has many good answers in its total, which would
+    /// hide the failures.
     pub fn recent(&mut self, now: Moment, total: &Tallies) -> Tallies {
-        let due = self.earlier.back().is_none_or(|(at, _)| now.since(*at) >= SUM_INTERVAL);
-        if due {
-            self.earlier.push_back((now, total.clone()));
+        let latest = self.snapshots.back();
+        let is_due = latest.is_none_or(|(at, _)| now.since(*at) >= SNAPSHOT_INTERVAL);
+        if is_due {
+            self.snapshots.push_back((now, total.clone()));
         }
-        while self.earlier.get(1).is_some_and(|(at, _)| now.since(*at) >= RECENT_SPAN) {
-            self.earlier.pop_front();
+        while self.snapshots.get(1).is_some_and(|(at, _)| now.since(*at) >= RECENT_SPAN) {
+            self.snapshots.pop_front();
         }
-        let Some((_, before)) = self.earlier.front() else { return total.clone() };
+        let Some((_, before)) = self.snapshots.front() else { return total.clone() };
         let since = |(key, count): (&TallyKey, &AnswerCount)| {
             let count = count.minus(before.get(key).copied().unwrap_or_default());
             (count.answers > 0).then_some((*key, count))
@@ -214,19 +229,19 @@
     }
 
     fn route_of(&self, route: RouteKey) -> Option<RouteKey> {
-        let known = self.spans.contains_key(&Some(route));
-        (known || self.spans.len() < ROUTES_LIMIT).then_some(route)
+        let known = self.old_paces.contains_key(&Some(route));
+        (known || self.old_paces.len() < ROUTES_LIMIT).then_some(route)
     }
 
-    /// Whether an answer was slower than most of those that the old version gave to the same route just before; nothing
-    /// when there were too few of these.
+    /// Returns whether an answer was slower than most recent answers of the old version on the same
+    /// route, or `None` if there are too few of them.
     fn is_slow(&mut self, now: Moment, route: Option<RouteKey>, pace: Duration) -> Option<bool> {
-        let spans = self.spans.get_mut(&route)?;
-        spans.retain(|(at, _)| now.since(*at) < SPANS_LIFE);
-        if spans.len() < SPANS_LEAST {
+        let old = self.old_paces.get_mut(&route)?;
+        old.retain(|(at, _)| now.since(*at) < PACE_TTL);
+        if old.len() < MIN_PACES {
             return None;
         }
-        let mut paces: Vec<Duration> = spans.iter().map(|(_, pace)| *pace).collect();
+        let mut paces: Vec<Duration> = old.iter().map(|(_, pace)| *pace).collect();
         paces.sort_unstable();
         Some(pace > paces[(paces.len() as f64 * SLOW_QUANTILE) as usize])
     }
--- a/crates/ryetide-core/src/rollout_judge.rs
+++ b/crates/ryetide-core/src/rollout_judge.rs
@@ -1,15 +1,18 @@
-//! Whether a new version of a service is as good as the old one, by the answers of both.
+//! Evaluates whether a new version of a service is as good as the old one, by the answers of both.
 //!
-//! Two sequential tests on each route, and on all routes together: one on answers that failed, one on whole answers that
-//! were slower than most of the old version's. Failures are weighed once more for what ran at full targets alone. Each test
-//! weighs how likely the new version's answers are if it is as good as the old one against how likely they are if it is
-//! worse by a lift that callers would notice.
+//! Two sequential probability ratio tests run on each route and on all routes together: one on
+//! answers that failed, and one on completed answers that were slower than most answers of the old
+//! version. The failures at fully loaded targets are tested once more by themselves. Each test
+//! compares how likely the new version's answers are if it is as good as the old one with how
+//! likely they are if its rate is higher by a lift that callers would notice.
 //!
-//! * What strikes both versions, such as a cut or an overload of the whole service, raises the old version's rate, and
-//!   with it what is expected of the new one.
-//! * A target that fails by itself condemns nobody: the worst quarter of the targets is left out of the counts of
-//!   failures, on both sides, so that one grey target of an old version excuses no bad new one either.
-//! * An old version that fails more often than [`FAILED_GREATEST`] is ailing, and no measure for another.
+//! * A fault of both versions, such as a network partition or an overload of the whole service,
+//!   raises the rate of the old version, and with it the rate expected of the new one.
+//! * A single faulty target does not fail a version: the worst quarter of the targets is left out
+//!   of the failure counts, on both sides. So a faulty target of the old version does not hide a
+//!   bad new version either.
+//! * An old version that fails more often than [`MAX_EXPECTED_FAILURES`] is itself faulty and no
+//!   baseline for another.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,81 +21,87 @@
     rollout_evidence::{AnswerCount, Tallies, VersionSide},
 };
 
-/// How much more often a bad version fails than a good one.
+/// The increase of the failure rate for which a version counts as bad.
 const FAILED_LIFT: f64 = 0.15;
-/// Failures that are expected of every version, at the least and at the most.
-const FAILED_LEAST: f64 = 0.01;
-const FAILED_GREATEST: f64 = 0.3;
-/// How much more often a slow version's answers are slower than most of the old one's.
+/// The bounds of the failure rate that is expected of every version.
+const MIN_EXPECTED_FAILURES: f64 = 0.01;
+const MAX_EXPECTED_FAILURES: f64 = 0.3;
+/// The increase of the rate of slow answers for which a version counts as slow.
 const SLOW_LIFT: f64 = 0.25;
-/// Slow answers that are expected of every version, at the least and at the most.
-const SLOW_LEAST: f64 = 0.2;
-const SLOW_GREATEST: f64 = 0.5;
-/// A version is bad when its answers are this many times likelier of a bad one, as a logarithm: 10,000 times.
+/// The bounds of the rate of slow answers that is expected of every version.
+const MIN_EXPECTED_SLOW: f64 = 0.2;
+const MAX_EXPECTED_SLOW: f64 = 0.5;
+/// The log-likelihood ratio of failures from which a version is bad: its answers are 10,000 times
+/// likelier for a bad version than for a good one.
 const BAD_FAILED: f64 = 9.2;
-/// Slowness must be plainer: targets differ by themselves, and answers of one target are alike.
+/// The log-likelihood ratio of slow answers from which a version is bad. It is higher than that of
+/// failures, since targets differ in speed and the times of one target's answers are correlated.
 const BAD_SLOW: f64 = 12.0;
-/// The same while it gets everything new.
+/// The same while the version gets all new requests, of which many are slow in the first moments.
 const BAD_SLOW_MOVING: f64 = 30.0;
-/// A version is good when its answers are this many times likelier of a good one, as a logarithm: 20 times.
-const GOOD_ODDS: f64 = -3.0;
-/// The same by the times of its answers: 400 times.
+/// The log-likelihood ratio of failures below which a version is good: its answers are 20 times
+/// likelier for a good version than for a bad one.
+const GOOD_FAILED: f64 = -3.0;
+/// The log-likelihood ratio of slow answers below which a version is good: 400 times likelier.
 const GOOD_SLOW: f64 = -6.0;
-/// The same by their times where no time is left to wait for more answers.
+/// The same for a version that must be decided on now, without time to wait for more answers.
 const LEAN_SLOW: f64 = -1.5;
-/// What ran at full targets must speak for the version this plainly, as a logarithm, or it does not move.
-const LOADED_ODDS: f64 = -1.0;
-/// Slowness is weighed when so many targets of the new version have answered, where there are so many: with fewer, one
-/// whose hardware is slow would make the version look so.
-const LEAST_SLOW_TARGETS: usize = 5;
-/// One in so many targets is left out, those that fail most.
+/// The log-likelihood ratio of failures at fully loaded targets above which no traffic is moved to
+/// a version.
+const LOADED_LIMIT: f64 = -1.0;
+/// Slowness is tested once this many targets of the new version have answered, or all of them if
+/// there are fewer. With a smaller number, one target with slow hardware would make the version
+/// look slow.
+const MIN_SLOW_TARGETS: usize = 5;
+/// One in this many targets is left out of the failure counts, those with the highest failure
+/// rates.
 const LEFT_OUT: usize = 4;
-/// Answers without which nothing is decided.
-const LEAST_ANSWERS: u32 = 12;
-/// A route that has had fewer of the new version's answers decides nothing by itself.
-const LEAST_ROUTE_ANSWERS: u32 = 8;
-/// Answers whose times were compared, without which slowness is not known.
-const LEAST_TIMED: u32 = 10;
-/// Targets of the new version that must have answered, where there are so many.
-const LEAST_TARGETS: usize = 2;
+/// The number of answers of the new version below which there is no decision.
+const MIN_ANSWERS: u32 = 12;
+/// The number of answers of the new version below which a route is not tested by itself.
+const MIN_ROUTE_ANSWERS: u32 = 8;
+/// The number of answers with compared times below which the rate of slow answers is unknown.
+const MIN_TIMED: u32 = 10;
+/// The number of targets of the new version that must have answered, or all if there are fewer.
+const MIN_TARGETS: usize = 2;
 
-/// What is known of a new version.
+/// The result of an evaluation of a new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RolloutVerdict {
-    /// Not enough, either way; whether what there is speaks for it.
+    /// The evidence is not sufficient for a decision.
     Unsure {
-        /// Whether its answers are likelier of a good version, as far as there are enough to say so.
+        /// Whether the answers so far are sufficient in number and likelier for a good version.
         leans_good: bool,
     },
-    /// It is as good as the old one.
+    /// The new version is as good as the old one.
     Good,
-    /// It is worse.
+    /// The new version is worse than the old one.
     Bad(JudgeReason),
 }
 
-/// By what a version was judged.
+/// The reason for a verdict.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JudgeReason {
-    /// Its answers are like the old version's.
+    /// The answers of the new version are like those of the old one.
     AsGood,
-    /// Too many failed.
+    /// Too many answers failed.
     Failures(JudgedRate),
-    /// Too many were slow.
+    /// Too many answers were slow.
     Slowness(JudgedRate),
 }
 
-/// The rates that decided.
+/// The expected and the observed rate in the test that decided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JudgedRate {
-    /// What was expected.
+    /// The rate that was expected.
     pub expected: f64,
-    /// What was found.
+    /// The rate that was found.
     pub found: f64,
-    /// Of how many answers.
+    /// The number of answers on which the found rate is based.
     pub answers: u32,
 }
 
-/// One side's answers on one route, or on all of them.
+/// The answers of one version on one route, or on all of them, by target.
 #[derive(Clone, Debug, Default)]
 struct SideCounts(BTreeMap<TargetKey, AnswerCount>);
 
@@ -106,8 +115,10 @@
         self.0.values().copied().fold(AnswerCount::default(), AnswerCount::plus)
     }
 
-    /// The part that is expected to fail, a little over the part that did: few answers tell little. Of few targets none is
-    /// left out, since it would take the measure with it.
+    /// Returns the failure rate that is expected of the other version.
+    ///
+    /// The rate is smoothed towards one half, as a small number of answers says little. With few
+    /// targets none is left out, since that would remove too much of the baseline.
     fn failure_rate(&self) -> f64 {
         let count = match self.0.len() < LEFT_OUT {
             true => self.sum(),
@@ -118,97 +129,107 @@
 
     fn slow_rate(&self) -> f64 {
         let count = self.sum();
-        if count.timed < LEAST_TIMED {
+        if count.timed < MIN_TIMED {
             return 0.0;
         }
         f64::from(count.slow) / f64::from(count.timed)
     }
 
-    /// The sum without the targets that fail most. With two targets, one of them.
+    /// Returns the sum without the targets that have the highest failure rates. Of two targets, one
+    /// is left out.
     fn sum_without_worst(&self) -> AnswerCount {
         let mut counts: Vec<AnswerCount> = self.0.values().copied().collect();
         let left_out = if counts.len() < 2 { 0 } else { counts.len().div_ceil(LEFT_OUT) };
-        let part = |count: &AnswerCount| f64::from(count.failed) / f64::from(count.answers.max(1));
-        counts.sort_by(|one, other| part(one).total_cmp(&part(other)));
+        let rate = |count: &AnswerCount| f64::from(count.failed) / f64::from(count.answers.max(1));
+        counts.sort_by(|one, other| rate(one).total_cmp(&rate(other)));
         counts.truncate(counts.len() - left_out);
         counts.into_iter().fold(AnswerCount::default(), AnswerCount::plus)
     }
 }
 
-/// The logarithm of how much likelier answers are of a bad version than of a good one.
+/// A likelihood ratio test of a bad version against a good one.
 #[derive(Clone, Copy, Debug)]
-struct OddsTest {
-    odds: f64,
+struct RatioTest {
+    /// The log-likelihood ratio. It is positive if the answers are likelier for a bad version.
+    log_ratio: f64,
     rate: JudgedRate,
 }
 
-impl OddsTest {
+impl RatioTest {
     fn new(expected: f64, lift: f64, hits: u32, answers: u32) -> Self {
         let worse = (expected + lift).min(0.95);
         let (hits, misses) = (f64::from(hits), f64::from(answers.saturating_sub(hits)));
-        let odds =
+        let log_ratio =
             hits * (worse / expected).ln() + misses * ((1.0 - worse) / (1.0 - expected)).ln();
         let found = hits / f64::from(answers.max(1));
-        Self { odds, rate: JudgedRate { expected, found, answers } }
+        Self { log_ratio, rate: JudgedRate { expected, found, answers } }
     }
 
-    /// Returns the test as if it spoke for neither.
+    /// Returns the test with a ratio that favours neither hypothesis.
     fn undecided(self) -> Self {
-        Self { odds: 0.0, ..self }
+        Self { log_ratio: 0.0, ..self }
     }
 
-    /// `old` are all answers of the old version; `sides` may hold later ones that failed more often.
+    /// Tests the failures of the new version.
+    ///
+    /// `old` holds all answers of the old version. `sides` may hold recent ones only; the higher
+    /// failure rate of the two is the expected one.
     fn of_failures(old: &SideCounts, sides: &[SideCounts; 2]) -> Self {
         let [recent, new] = sides;
         let new = new.sum_without_worst();
         let expected = old.failure_rate().max(recent.failure_rate());
-        let expected = expected.clamp(FAILED_LEAST, FAILED_GREATEST);
+        let expected = expected.clamp(MIN_EXPECTED_FAILURES, MAX_EXPECTED_FAILURES);
         Self::new(expected, FAILED_LIFT, new.failed, new.answers)
     }
 
+    /// Tests the slow answers of the new version, with the arguments of
+    /// [`of_failures`](Self::of_failures).
     fn of_slowness(old: &SideCounts, sides: &[SideCounts; 2]) -> Self {
         let [recent, new] = sides;
-        let expected = old.slow_rate().max(recent.slow_rate()).clamp(SLOW_LEAST, SLOW_GREATEST);
+        let expected =
+            old.slow_rate().max(recent.slow_rate()).clamp(MIN_EXPECTED_SLOW, MAX_EXPECTED_SLOW);
         let new = new.sum();
         Self::new(expected, SLOW_LIFT, new.slow, new.timed)
     }
 }
 
-/// The answers by which a version is judged.
+/// The answers by which a version is evaluated.
 #[derive(Clone, Copy, Debug)]
-pub struct JudgeCase<'a> {
+pub struct EvaluationInput<'a> {
     /// All answers since the order.
     pub total: &'a Tallies,
-    /// Those that came lately.
+    /// The recent answers.
     pub recent: &'a Tallies,
-    /// How many targets the new version has.
+    /// The number of targets of the new version.
     pub new_targets: usize,
-    /// Whether it gets everything new already. What it does in the first moments, when no VM knows its targets' speeds, makes
-    /// many answers slow.
+    /// Whether the new version gets all new requests already. In the first moments after the move,
+    /// when no VM knows the speeds of its targets, many answers are slow.
     pub is_moving: bool,
 }
 
-/// Judges a new version: by all its answers, and by its latest, since it may turn bad after a while.
-pub fn judge(case: &JudgeCase<'_>) -> RolloutVerdict {
-    let (total, recent) = (RoutedCounts::of(case.total), RoutedCounts::of(case.recent));
-    let bad_slow = if case.is_moving { BAD_SLOW_MOVING } else { BAD_SLOW };
-    let verdict = total.verdict(&total, case.new_targets, bad_slow);
+/// Evaluates a new version by all of its answers and by its recent ones, since it may start to fail
+/// only after a while.
+pub fn evaluate(input: &EvaluationInput<'_>) -> RolloutVerdict {
+    let (total, recent) = (RoutedCounts::of(input.total), RoutedCounts::of(input.recent));
+    let bad_slow = if input.is_moving { BAD_SLOW_MOVING } else { BAD_SLOW };
+    let verdict = total.verdict(&total, input.new_targets, bad_slow);
     if matches!(verdict, RolloutVerdict::Bad(_)) {
         return verdict;
     }
-    match recent.verdict(&total, case.new_targets, bad_slow) {
+    match recent.verdict(&total, input.new_targets, bad_slow) {
         RolloutVerdict::Bad(reason) => RolloutVerdict::Bad(reason),
         RolloutVerdict::Good | RolloutVerdict::Unsure { .. } => verdict,
     }
 }
 
-/// Both sides' answers, by route.
+/// The answers of both versions, by route.
 #[derive(Debug, Default)]
 struct RoutedCounts {
     routes: BTreeMap<Option<RouteKey>, [SideCounts; 2]>,
-    /// The old version's, and of the new one's those that ran at full targets.
+    /// All answers of the old version, and those answers of the new one that came from fully loaded
+    /// targets.
     loaded: [SideCounts; 2],
-    /// Targets of the new version that have answered.
+    /// The number of targets of the new version that have answered.
     tried: usize,
 }
 
@@ -229,67 +250,71 @@
         Self { tried: tried.len(), ..counts }
     }
 
-    /// Weighs the new version's answers against those that the old one has given in all.
+    /// Compares the new version's answers in `self` with the answers of the old version in `all`.
     fn verdict(&self, all: &Self, new_targets: usize, bad_slow: f64) -> RolloutVerdict {
         let of_new = |[_, new]: &[SideCounts; 2]| new.sum().answers;
         let answers: u32 = self.routes.values().map(of_new).sum();
-        if answers < LEAST_ANSWERS || self.tried < LEAST_TARGETS.min(new_targets) {
+        if answers < MIN_ANSWERS || self.tried < MIN_TARGETS.min(new_targets) {
             return RolloutVerdict::Unsure { leans_good: false };
         }
-        let weighs_slowness = self.tried >= LEAST_SLOW_TARGETS.min(new_targets);
+        let tests_slowness = self.tried >= MIN_SLOW_TARGETS.min(new_targets);
         let mut tests = Vec::new();
         for (route, sides) in &self.routes {
             let Some([old, _]) = all.routes.get(route) else { continue };
-            // Without answers of the old version there is no measure.
-            if old.sum().answers < LEAST_ROUTE_ANSWERS || of_new(sides) < LEAST_ROUTE_ANSWERS {
+            // Without answers of the old version there is no baseline.
+            if old.sum().answers < MIN_ROUTE_ANSWERS || of_new(sides) < MIN_ROUTE_ANSWERS {
                 continue;
             }
-            let slowness = OddsTest::of_slowness(old, sides);
+            let slowness = RatioTest::of_slowness(old, sides);
             tests.push(RouteTest {
-                failures: OddsTest::of_failures(old, sides),
-                slowness: if weighs_slowness { slowness } else { slowness.undecided() },
+                failures: RatioTest::of_failures(old, sides),
+                slowness: if tests_slowness { slowness } else { slowness.undecided() },
             });
         }
-        let loaded = OddsTest::of_failures(&all.loaded[0], &self.loaded);
+        let loaded = RatioTest::of_failures(&all.loaded[0], &self.loaded);
         decide(&tests, loaded, bad_slow)
     }
 }
 
-/// What one route's answers say.
+/// The tests of one route's answers.
 #[derive(Clone, Copy, Debug)]
 struct RouteTest {
-    failures: OddsTest,
-    slowness: OddsTest,
+    failures: RatioTest,
+    slowness: RatioTest,
 }
 
-fn decide(tests: &[RouteTest], loaded: OddsTest, bad_slow: f64) -> RolloutVerdict {
-    let sum = |of: fn(&RouteTest) -> OddsTest| tests.iter().map(|it| of(it).odds).sum::<f64>();
-    let worst = |of: fn(&RouteTest) -> OddsTest| {
-        tests.iter().map(of).max_by(|one, other| one.odds.total_cmp(&other.odds))
+/// Derives the verdict from the tests of all routes and the test at fully loaded targets.
+fn decide(tests: &[RouteTest], loaded: RatioTest, bad_slow: f64) -> RolloutVerdict {
+    let sum =
+        |of: fn(&RouteTest) -> RatioTest| tests.iter().map(|it| of(it).log_ratio).sum::<f64>();
+    let worst = |of: fn(&RouteTest) -> RatioTest| {
+        tests.iter().map(of).max_by(|one, other| one.log_ratio.total_cmp(&other.log_ratio))
     };
     let (failures, slowness) = (sum(|it| it.failures), sum(|it| it.slowness));
     let Some(worst_failures) = worst(|it| it.failures) else {
         return RolloutVerdict::Unsure { leans_good: false };
     };
-    let has_loaded = loaded.rate.answers >= LEAST_ROUTE_ANSWERS;
-    if has_loaded && loaded.odds > BAD_FAILED {
+    let has_loaded = loaded.rate.answers >= MIN_ROUTE_ANSWERS;
+    if has_loaded && loaded.log_ratio > BAD_FAILED {
         return RolloutVerdict::Bad(JudgeReason::Failures(loaded.rate));
     }
-    if failures.max(worst_failures.odds) > BAD_FAILED {
+    if failures.max(worst_failures.log_ratio) > BAD_FAILED {
         return RolloutVerdict::Bad(JudgeReason::Failures(worst_failures.rate));
     }
     if let Some(worst) = worst(|it| it.slowness)
-        && slowness.max(worst.odds) > bad_slow
+        && slowness.max(worst.log_ratio) > bad_slow
     {
         return RolloutVerdict::Bad(JudgeReason::Slowness(worst.rate));
     }
-    // What shows at full targets only would show everywhere once the version gets everything.
-    let suspect = worst_failures.odds > -GOOD_ODDS || (has_loaded && loaded.odds > LOADED_ODDS);
-    let is_good = failures < GOOD_ODDS && slowness < GOOD_SLOW && has_loaded;
-    if is_good && !suspect {
+    // Failures that occur at fully loaded targets only would occur everywhere once all traffic
+    // moves.
+    let is_suspect =
+        worst_failures.log_ratio > -GOOD_FAILED || (has_loaded && loaded.log_ratio > LOADED_LIMIT);
+    let is_good = failures < GOOD_FAILED && slowness < GOOD_SLOW && has_loaded;
+    if is_good && !is_suspect {
         return RolloutVerdict::Good;
     }
     let timed: u32 = tests.iter().map(|it| it.slowness.rate.answers).sum();
-    let leans_good = failures < 0.0 && slowness < LEAN_SLOW && timed >= LEAST_TIMED && !suspect;
+    let leans_good = failures < 0.0 && slowness < LEAN_SLOW && timed >= MIN_TIMED && !is_suspect;
     RolloutVerdict::Unsure { leans_good }
 }
--- a/crates/ryetide-core/src/rollout_order.rs
+++ b/crates/ryetide-core/src/rollout_order.rs
@@ -1,4 +1,5 @@
-//! What operators order when they bring a new version of a service in, and what they are told of it.
+//! Operators' orders to roll out a version of a service, and the status that is reported back to
+//! them.
 
 use std::{fmt, time::Duration};
 
@@ -11,7 +12,7 @@
 };
 
 number_type!(
-    /// Which of the orders for a service this is; a later one has a higher number.
+    /// The number of an order; of two orders for a service, the later one has the higher number.
     OrderNumber(u64)
 );
 
@@ -22,9 +23,9 @@
     pub service: ServiceName,
     /// The version to move to.
     pub to: VersionName,
-    /// The time from the order until it must have been decided.
+    /// The time within which the order must be completed or rolled back.
     pub duration: Duration,
-    /// Which order it is.
+    /// The number of the order.
     pub number: OrderNumber,
 }
 
@@ -33,7 +34,8 @@
         EraVersion::of(self.0)
     }
 
-    /// Returns whether this is `known` in a later era: a copy of the operators' table has each row under its number.
+    /// Returns whether this is the number `known` in a later era. When the operators' table is
+    /// restored from a backup, each row keeps its number and the era of the table increases.
     pub fn is_copy_of(self, known: Self) -> bool {
         let (found, known) = (self.version(), known.version());
         found.number == known.number && found.era > known.era
@@ -41,8 +43,8 @@
 }
 
 impl RolloutOrder {
-    /// Returns whether this is the order `known`, as the operators' table has it since it came back from a copy: as it was
-    /// copied, or written again.
+    /// Returns whether this is the order `known` in an operators' table restored from a backup:
+    /// either as the backup held it, or written again afterwards.
     pub fn is_again(&self, known: &Self) -> bool {
         let is_later = self.number.version().era > known.number.version().era;
         let is_same = (&self.service, &self.to) == (&known.service, &known.to);
@@ -50,15 +52,15 @@
     }
 }
 
-/// How much of a service's traffic a version may get that may prove bad.
+/// The limit on the traffic of a version whose trial has not ended yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutRule {
-    /// The greatest part of the service's requests.
+    /// The greatest share of the service's requests.
     pub share: f64,
-    /// Requests beyond that part, over all VMs together.
+    /// The number of requests that are permitted beyond that share, over all VMs together.
     pub slack: f64,
-    /// Whether a version comes into use by an order only. Otherwise a version that appears beside another is used at
-    /// once, unless an order names it.
+    /// Whether a version comes into use by an order only. Otherwise a version that appears beside
+    /// another is used at once, unless an order names it.
     pub by_order_only: bool,
 }
 
@@ -68,14 +70,14 @@
     }
 }
 
-/// What the operators' row says of an order.
+/// The status of an order in the operators' row.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum RolloutWord {
-    /// Nothing is decided.
+    /// There is no result yet.
     Running,
-    /// All traffic is at the new version; the old targets may stop at once.
+    /// All traffic goes to the new version; the old targets may stop at once.
     Completed,
-    /// All traffic is at the old version.
+    /// All traffic goes to the old version.
     RolledBack,
 }
 
@@ -89,38 +91,38 @@
     }
 }
 
-/// What must be done at the operators' row about an order.
+/// A task that must be done at the operators' row of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolloutDuty {
     /// The order.
     pub order: RolloutOrder,
-    /// What to do.
+    /// The task.
     pub task: RolloutTask,
 }
 
-/// A task at the operators' row.
+/// The kind of a task at the operators' row.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RolloutTask {
-    /// Find out what became of the order, and say that it runs where nothing was said yet.
+    /// Read the status of the order, and write that it is running if there is none yet.
     Open,
-    /// Write down for the VMs that the version was found good, so that they need not find out again after all of them
-    /// were lost.
+    /// Store that the version passed its trial, so that the trial need not be repeated if all VMs
+    /// are lost.
     Remember,
-    /// Say how it has ended, unless that was said already.
+    /// Write the result of the order, unless there is one already.
     End(RolloutWord),
 }
 
-/// What was found, or said, at the operators' row.
+/// The content of the operators' row after a task, read or written.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolloutReport {
     /// The service.
     pub service: ServiceName,
     /// The order.
     pub number: OrderNumber,
-    /// What the row says now.
+    /// The status in the row.
     pub word: RolloutWord,
-    /// How long ago the order was first seen by any VM, where that was kept.
+    /// The time since any VM first saw the order, if that is stored.
     pub age: Option<Duration>,
-    /// Whether it is written down that the version was found good.
+    /// Whether the store holds that the version passed its trial.
     pub passed: bool,
 }
--- a/crates/ryetide-core/src/scheduler_rollouts.rs
+++ b/crates/ryetide-core/src/scheduler_rollouts.rs
@@ -1,5 +1,5 @@
-//! How a scheduler carries out orders to bring new versions in: its versions decide which targets are dealt, and its runs
-//! and peers tell how far an order is.
+//! The scheduler's part in rollout orders: the versions of services decide which targets get
+//! requests, and the results of runs and the peers' reports advance the orders.
 
 use std::collections::BTreeMap;
 
@@ -15,12 +15,14 @@
 };
 
 impl Scheduler {
-    /// Replaces how much a version may get that may prove bad; orders under way keep to the rule that they began with.
+    /// Replaces the limit on the traffic of versions on trial. Orders in progress keep the rule
+    /// with which they began.
     pub fn set_rollout_rule(&mut self, rule: RolloutRule) {
         self.rollouts.set_rule(rule);
     }
 
-    /// Runs something on the versions of services and lets those have work that may have it now.
+    /// Runs `act` on the versions of services. If an order has changed its state, the targets are
+    /// assigned anew and waiting requests are dispatched.
     pub fn with_rollouts<T>(
         &mut self,
         now: Moment,
@@ -35,12 +37,13 @@
         outcome
     }
 
-    /// Weighs what is known of new versions.
+    /// Evaluates the new versions of all orders in progress.
     pub fn advance_rollouts(&mut self, now: Moment) {
-        let left = self.left_at_old();
-        let sight = self.fleet_sight(now);
-        self.with_rollouts(now, |desk, now| {
-            desk.advance(now, &sight, |service| left.get(service).copied().unwrap_or(0));
+        let in_flight = self.in_flight_at_old();
+        let reachability = self.fleet_sight(now);
+        self.with_rollouts(now, |manager, now| {
+            let of_service = |service: &ServiceName| in_flight.get(service).copied().unwrap_or(0);
+            manager.advance(now, &reachability, of_service);
         });
     }
 
@@ -49,7 +52,7 @@
         &self.rollouts
     }
 
-    /// Returns what this VM must do at the operators' rows about orders.
+    /// Returns the tasks that this VM must do at the operators' rows of orders.
     pub fn rollout_duties(&self, now: Moment) -> Vec<RolloutDuty> {
         if self.rollouts.rollouts().next().is_none() {
             return Vec::new();
@@ -59,36 +62,39 @@
         self.rollouts.duties(now, &heard)
     }
 
-    /// Notes how a run has ended that shows what its target's version is like.
-    pub fn note_run(&mut self, now: Moment, note: RunNote) {
-        if let Some(load) = self.targets.get(&note.target) {
-            self.rollouts.note_run(now, load.entry(), note);
+    /// Adds the result of a run to the evidence on its target's version.
+    pub fn note_run(&mut self, now: Moment, sample: RunNote) {
+        if let Some(load) = self.targets.get(&sample.target) {
+            self.rollouts.note_run(now, load.entry(), sample);
         }
     }
 
+    /// Returns the progress of orders, as reported to peers.
     pub(crate) fn rollout_marks(&self, now: Moment, with_tallies: bool) -> Vec<RolloutMark> {
-        let left = self.left_at_old();
-        let left = |service: &ServiceName| left.get(service).copied().unwrap_or(0);
-        self.rollouts.marks(now, with_tallies, left)
+        let in_flight = self.in_flight_at_old();
+        let of_service = |service: &ServiceName| in_flight.get(service).copied().unwrap_or(0);
+        self.rollouts.marks(now, with_tallies, of_service)
     }
 
-    /// Counts the requests of this VM at old targets of the services for which an order is under way.
-    fn left_at_old(&self) -> BTreeMap<ServiceName, u32> {
-        let mut left = BTreeMap::new();
+    /// Counts the requests of this VM that are in flight at old targets, for each service with an
+    /// order in progress.
+    fn in_flight_at_old(&self) -> BTreeMap<ServiceName, u32> {
+        let mut in_flight = BTreeMap::new();
         if self.rollouts.rollouts().all(|rollout| rollout.is_ended()) {
-            return left;
+            return in_flight;
         }
         for run in self.runs.values() {
             let entry = self.targets.get(&run.target).map(TargetLoad::entry);
             if entry.and_then(|entry| self.rollouts.side(entry)) == Some(VersionSide::Old) {
-                *left.entry(run.service.clone()).or_default() += 1;
+                *in_flight.entry(run.service.clone()).or_default() += 1;
             }
         }
-        left
+        in_flight
     }
 
+    /// Returns how much of the fleet this VM hears from.
     pub(crate) fn fleet_sight(&self, now: Moment) -> FleetSight {
-        let (heard_part, vms) = (self.peers.heard_part(now), self.peers.known_count(now));
-        FleetSight { heard_part, vms }
+        let reachable_share = self.peers.heard_part(now);
+        FleetSight { reachable_share, vms: self.peers.known_count(now) }
     }
 }
--- a/crates/ryetide-core/src/service_rollout.rs
+++ b/crates/ryetide-core/src/service_rollout.rs
@@ -1,28 +1,33 @@
-//! One order for one service, as one entry VM carries it out.
+//! The state of one rollout order for one service at one entry VM.
 //!
 //! # Exposure
 //!
-//! A version that may be bad gets at most a part of the service's requests, over all VMs. Each VM keeps to that part of
-//! the requests that it has placed itself since it knows the order, so the sum holds whoever joins, dies or is not
-//! heard, and no VM has to know of another. A VM that starts anew counts from nothing.
+//! A version that may be bad gets at most a fixed share of the service's requests, over all VMs
+//! together. Each VM applies this share to the requests that it has placed itself since it learned
+//! of the order, so the bound holds for the whole fleet without coordination, whichever VMs join,
+//! fail or are unreachable. A VM that restarts counts from zero.
 //!
 //! # Concentration
 //!
-//! Spread over all its targets, a few requests in a hundred would never show what load does to a version. They go to as
-//! many targets as make that part of all of them, so that these run as full as the old version's, and after a slice of
-//! the order's time to the next ones, so that no single target decides. Where one target is more than that part of all,
-//! what may be sent is saved up and sent within the end of each slice, so that it runs as full for that time.
+//! Spread over all targets of the new version, a few percent of the requests would never show how
+//! the version behaves under load. They go to a subset of its targets instead, whose size is the
+//! same share of all of them, so that each target in it is as loaded as the targets of the old
+//! version. The subset changes with each time slice, so that no single target decides the result.
+//! If one target is more than this share of all, the permitted requests are saved up and sent near
+//! the end of each slice, so that the target runs at full load for that time.
 //!
-//! In every second slice the requests go to [`WIDE`] times as many targets, and the scheduler chooses among them as it does
-//! among the old version's. Only the times of these answers are weighed: a single target may have slow hardware, and gets
-//! more at one moment than a scheduler would have sent there.
+//! In every second slice the requests go to [`WIDE_FACTOR`] times as many targets, and the
+//! scheduler chooses among them as it does among those of the old version. Response times are
+//! compared in these wide slices only: in a narrow slice a single target may have slow hardware,
+//! and it gets more requests at one moment than the scheduler would have sent to it.
 //!
-//! # The end
+//! # Completion
 //!
-//! A version found bad gets nothing from the moment at which a VM finds it or hears it of another; the operators' row
-//! follows. A version found good gets everything new, and the row follows when nothing is left at the old targets,
-//! which may stop at once then. Whoever writes the row does so under its version. A VM that was frozen, cut off or
-//! started anew finds the row written and takes what it says.
+//! A version found to be bad gets no more requests from the moment at which a VM finds this or
+//! learns it from a peer; the operators' row is updated afterwards. A version found to be good gets
+//! all new requests; the row is updated once no requests are left at the old targets, which may
+//! then stop at once. The row is written conditionally on its version: a VM that was frozen,
+//! partitioned or restarted finds the row already written and adopts what it says.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -33,7 +38,7 @@
     chart::{self, RolloutEvent, RolloutState},
     ids::{Incarnation, ServiceKey, TargetKey, VmName},
     rollout_evidence::{AnswerCount, AnswerTally, RolloutEvidence, RunNote, VersionSide},
-    rollout_judge::{self, JudgeCase, JudgeReason, RolloutVerdict},
+    rollout_judge::{self, EvaluationInput, JudgeReason, RolloutVerdict},
     rollout_order::{
         OrderNumber, RolloutDuty, RolloutOrder, RolloutReport, RolloutRule, RolloutTask,
         RolloutWord,
@@ -41,162 +46,175 @@
     units::Moment,
 };
 
-/// The part of the permitted share that is used: a request that was placed may not arrive.
-const USED_PART: f64 = 0.95;
-/// The part of the slack that is used, by VMs that know the order from its beginning, evenly. A VM that starts later gets
-/// none, so that no number of starts uses it up.
-const USED_SLACK: f64 = 0.5;
-/// A VM that learns of an order within this time knows it from its beginning.
-const BEGINNING: Duration = Duration::from_secs(2);
-/// Slices of an order's time, in each of which the trial's requests go to other targets.
-const SLICES: u32 = 12;
-/// The part of the share that is used in narrow slices; what is left, and the slack, show times.
-const NARROW_PART: f64 = 0.5;
-/// How many times as many targets a wide slice has.
-const WIDE: usize = 3;
-/// The shortest slice that still shows what load does.
-const SLICE_LEAST: Duration = Duration::from_millis(500);
-/// A version is not found good before this part of the order's time, since it may turn bad only after a while.
-const TRIAL_PART: f64 = 0.5;
-/// After this part of the order's time it must be known whether the version is good, so that there is time to move.
-const TRIAL_LONGEST: f64 = 0.75;
-/// Kept of the order's time to write the row, and to write it at another VM where one fails.
+/// The fraction of the permitted share that is used. A placed request may fail to arrive, so the
+/// service may get fewer requests than this VM counts.
+const USED_SHARE_FRACTION: f64 = 0.95;
+/// The fraction of the slack that is used, divided evenly among the VMs. Only VMs that have known
+/// the order from its beginning get a part: otherwise repeated restarts could exceed the slack.
+const USED_SLACK_FRACTION: f64 = 0.5;
+/// A VM that learns of an order within this time counts as having known it from its beginning.
+const BEGINNING_SPAN: Duration = Duration::from_secs(2);
+/// The number of time slices of an order; in each of them the trial requests go to different
+/// targets.
+const SLICE_COUNT: u32 = 12;
+/// The fraction of the share that is used in narrow slices. The rest, and the slack, are left for
+/// wide slices, in which response times are compared.
+const NARROW_SHARE_FRACTION: f64 = 0.5;
+/// The number of targets in a wide slice, as a multiple of those in a narrow one.
+const WIDE_FACTOR: usize = 3;
+/// The shortest slice that still shows the effect of load.
+const MIN_SLICE: Duration = Duration::from_millis(500);
+/// A version is not accepted before this fraction of the order's time, since it may start to fail
+/// only after a while.
+const MIN_TRIAL_FRACTION: f64 = 0.5;
+/// The trial is decided at the latest after this fraction of the order's time, so that there is
+/// time left to move the traffic.
+const MAX_TRIAL_FRACTION: f64 = 0.75;
+/// Time reserved at the end of the order to write the row, and for another VM to write it if the
+/// first one fails.
 const WRITE_MARGIN: Duration = Duration::from_millis(1_500);
-/// VMs take a duty one after the other, each by this much later than the one before: a write, and its news to the others.
-const DUTY_STEP: Duration = Duration::from_millis(400);
-/// The greatest part of the order's time for which a VM waits before it takes a duty that nobody has done.
-const DUTY_LONGEST: f64 = 0.1;
-/// A VM that hears less than this part of the others sends nothing to the new version: what they find would not reach
-/// it.
-const LEAST_HEARD: f64 = 0.5;
-/// Peers' counts of what is left at the old version are believed for this long: three of the slowest digests.
-const LEFT_LIFE: Duration = Duration::from_millis(3_500);
-/// How often the evidence is weighed.
-const JUDGE_INTERVAL: Duration = Duration::from_millis(200);
-
-/// What one VM tells the others of an order.
+/// The delay between consecutive VMs in taking on the same duty: long enough for a write and for
+/// the report of it to reach the other VMs.
+const DUTY_STAGGER: Duration = Duration::from_millis(400);
+/// The longest delay before a VM takes on a duty that no other VM has done, as a fraction of the
+/// order's time.
+const MAX_DUTY_DELAY_FRACTION: f64 = 0.1;
+/// A VM that hears from a smaller share of the VMs sends no requests to the new version, since
+/// their findings would not reach it.
+const MIN_REACHABLE_SHARE: f64 = 0.5;
+/// How long a peer's count of requests at the old version stays valid: three intervals of the
+/// slowest digest.
+const IN_FLIGHT_COUNT_TTL: Duration = Duration::from_millis(3_500);
+/// The interval between evaluations of the evidence.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(200);
+
+/// The progress of an order at one VM, as reported to its peers.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct RolloutMark {
     /// The service.
     pub service: ServiceKey,
     /// The order.
     pub number: OrderNumber,
-    /// For how long it has been known, in milliseconds.
+    /// The time since any VM first saw the order, as far as the sender knows, in milliseconds.
     pub age_ms: u32,
-    /// How far it is here.
+    /// The state of the order at the sender.
     pub state: RolloutState,
-    /// Requests of this VM that are at the old version.
-    pub left: u32,
-    /// Whether it is written down that the version was found good.
-    pub remembered: bool,
-    /// What the answers were like that came here; nothing among changes.
+    /// The sender's requests that are in flight at the old version.
+    pub in_flight_old: u32,
+    /// Whether the store holds that the version passed its trial.
+    pub pass_stored: bool,
+    /// The answers that the sender has counted; `None` in digests that hold changes only.
     pub tallies: Option<Vec<AnswerTally>>,
 }
 
-/// A step of an order, with what decided it.
+/// A state transition of an order, with its reason.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutChange {
     /// The order.
     pub order: RolloutOrder,
-    /// The state that was left.
+    /// The state before the transition.
     pub from: RolloutState,
-    /// The state that follows.
+    /// The state after it.
     pub to: RolloutState,
-    /// What made it so.
+    /// The reason.
     pub reason: RolloutReason,
-    /// Requests that this VM has placed since it knows the order.
+    /// Requests that this VM has placed since it learned of the order.
     pub placed: u64,
     /// Those of them that went to the new version.
     pub exposed: u64,
-    /// The old version's answers that all VMs have counted, as far as heard.
+    /// The old version's answers at all VMs, as far as reports of them have arrived.
     pub old: AnswerCount,
-    /// The new version's.
+    /// The new version's answers, counted in the same way.
     pub new: AnswerCount,
 }
 
-/// Why an order has gone on.
+/// The reason for a state transition of an order.
 #[derive(Clone, Copy, Debug, PartialEq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RolloutReason {
-    /// The operators' row says so.
+    /// The operators' row holds the result.
     Row,
-    /// A peer is as far.
+    /// A peer has reported the state.
     Peer,
-    /// The evidence.
+    /// The evidence was sufficient.
     Evidence(JudgeReason),
-    /// The time is over with little evidence, or none; what there is decides, and none is no ground to move.
+    /// The time for the trial ended with insufficient evidence. What there is decides; without any,
+    /// the traffic stays at the old version.
     LittleEvidence,
-    /// Nothing is left at the old version.
+    /// No requests are left at the old version.
     NothingLeft,
-    /// The time is nearly over.
+    /// The order's time is nearly over.
     Deadline,
     /// The service has no other version.
     OnlyVersion,
 }
 
-/// What a VM sees of the fleet.
+/// How much of the fleet this VM hears from.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSight {
-    /// The part of the entry VMs that is heard.
-    pub heard_part: f64,
-    /// How many entry VMs there are, this one included.
+    /// The share of the entry VMs that this VM hears from.
+    pub reachable_share: f64,
+    /// The number of entry VMs, including this one.
     pub vms: usize,
 }
 
-/// What a VM knows of the fleet that carries out an order.
+/// The surroundings in which an order is evaluated.
 #[derive(Clone, Copy, Debug)]
-pub struct RolloutScene {
-    /// What it sees of the fleet.
-    pub sight: FleetSight,
-    /// The new version's targets.
+pub struct RolloutContext {
+    /// How much of the fleet this VM hears from.
+    pub reachability: FleetSight,
+    /// The number of targets of the new version.
     pub new_targets: usize,
-    /// Requests of this VM at the old version.
-    pub left: u32,
+    /// Requests of this VM that are in flight at the old version.
+    pub in_flight_old: u32,
 }
 
-/// One order for one service.
+/// The state of one order for one service.
 #[derive(Debug)]
 pub struct ServiceRollout {
     order: RolloutOrder,
     rule: RolloutRule,
     state: RolloutState,
+    /// When any VM first saw the order, as far as this VM knows.
     began: Moment,
-    /// When this VM learnt of it.
-    learnt: Moment,
+    /// When this VM learned of the order.
+    learned: Moment,
     evidence: RolloutEvidence,
-    /// What peers have left at the old version, and when they said so.
-    left: BTreeMap<VmName, (Moment, u32)>,
+    /// The peers' requests in flight at the old version, with the time of the report.
+    peers_in_flight_old: BTreeMap<VmName, (Moment, u32)>,
     placed: u64,
     exposed: u64,
-    /// Those of them that ran in narrow slices.
+    /// Those of `exposed` that were placed in narrow slices.
     exposed_narrow: u64,
-    judged: Moment,
-    /// Whether it is written down that the version was found good.
-    remembered: bool,
-    /// Whether the operators' row may lack what was said of the order: its table has come back from a copy.
-    unsaid: bool,
-    /// When the state began.
+    /// The time of the last evaluation.
+    evaluated: Moment,
+    /// Whether the store holds that the version passed its trial.
+    pass_stored: bool,
+    /// Whether the operators' row may lack the status of the order, because its table was restored
+    /// from a backup.
+    must_rewrite_row: bool,
+    /// When the current state was entered.
     since: Moment,
     changes: Vec<RolloutChange>,
 }
 
 impl ServiceRollout {
-    /// Takes an order that has just become known.
+    /// Creates the state of an order that this VM has just learned of.
     pub fn new(now: Moment, order: RolloutOrder, rule: RolloutRule) -> Self {
         Self {
             order,
             rule,
             state: chart::rollout().initial(),
             began: now,
-            learnt: now,
+            learned: now,
             evidence: RolloutEvidence::default(),
-            left: BTreeMap::new(),
+            peers_in_flight_old: BTreeMap::new(),
             placed: 0,
             exposed: 0,
             exposed_narrow: 0,
-            judged: now,
-            remembered: false,
-            unsaid: false,
+            evaluated: now,
+            pass_stored: false,
+            must_rewrite_row: false,
             since: now,
             changes: Vec::new(),
         }
@@ -207,49 +225,52 @@
         &self.order
     }
 
-    /// Notes that the order stands again under another number, in a table that has come back from a copy. It goes on as far
-    /// as it is; what was said and written down of it must be so again.
-    pub fn note_again(&mut self, number: OrderNumber) {
+    /// Adopts the number that the order has in a table restored from a backup.
+    ///
+    /// The order keeps its state. Its row and the stored result of the trial may be missing from
+    /// the backup, so both are written again.
+    pub fn renumber(&mut self, number: OrderNumber) {
         self.order.number = number;
-        self.remembered = false;
-        self.unsaid = true;
+        self.pass_stored = false;
+        self.must_rewrite_row = true;
     }
 
-    /// Returns how far it is.
+    /// Returns the current state.
     pub fn state(&self) -> RolloutState {
         self.state
     }
 
-    /// Returns whether the operators were told how it has ended.
+    /// Returns whether the order has ended and the operators' row says so.
     pub fn is_ended(&self) -> bool {
         chart::rollout().is_terminal(self.state)
     }
 
-    /// Returns the steps taken since the last call.
+    /// Returns the state transitions since the last call.
     pub fn take_changes(&mut self) -> Vec<RolloutChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns the requests placed here since the order is known, and those of them that went to the new version.
+    /// Returns the number of requests that this VM has placed since it learned of the order, and of
+    /// those that went to the new version.
     pub fn exposure(&self) -> (u64, u64) {
         (self.placed, self.exposed)
     }
 
-    /// Returns the evidence.
+    /// Returns the collected evidence.
     pub fn evidence(&self) -> &RolloutEvidence {
         &self.evidence
     }
 
-    /// Takes what the operators' row says.
+    /// Applies the status in the operators' row.
     pub fn take_report(&mut self, now: Moment, report: &RolloutReport) {
         if report.number != self.order.number {
             return;
         }
         if let Some(age) = report.age {
-            self.note_age(now, age);
+            self.update_age(now, age);
         }
-        self.remembered |= report.passed;
-        self.unsaid = false;
+        self.pass_stored |= report.passed;
+        self.must_rewrite_row = false;
         let event = match report.word {
             RolloutWord::Running if report.passed => RolloutEvent::Passed,
             RolloutWord::Running => RolloutEvent::Opened,
@@ -259,26 +280,27 @@
         self.advance_by(now, event, RolloutReason::Row);
     }
 
-    /// Takes what a peer tells.
-    pub fn take_mark(
+    /// Applies a peer's progress report.
+    pub fn take_progress(
         &mut self,
         now: Moment,
         from: &VmName,
         incarnation: Incarnation,
-        mark: &RolloutMark,
+        progress: &RolloutMark,
     ) {
-        if mark.number != self.order.number {
+        if progress.number != self.order.number {
             return;
         }
-        self.note_age(now, Duration::from_millis(u64::from(mark.age_ms)));
-        if let Some(tallies) = &mark.tallies {
-            self.evidence.take(from, incarnation, tallies);
+        self.update_age(now, Duration::from_millis(u64::from(progress.age_ms)));
+        if let Some(tallies) = &progress.tallies {
+            self.evidence.take_peer_tallies(from, incarnation, tallies);
         }
-        self.remembered |= mark.remembered;
-        // One that has not found the version good yet may send more to the old one.
-        let left = if is_moving(mark.state) { mark.left } else { mark.left.max(1) };
-        self.left.insert(from.clone(), (now, left));
-        let event = match mark.state {
+        self.pass_stored |= progress.pass_stored;
+        // A peer that does not move its traffic yet may still send requests to the old version.
+        let in_flight = progress.in_flight_old;
+        let in_flight = if is_moving(progress.state) { in_flight } else { in_flight.max(1) };
+        self.peers_in_flight_old.insert(from.clone(), (now, in_flight));
+        let event = match progress.state {
             RolloutState::Asked => return,
             RolloutState::Trial => RolloutEvent::Opened,
             RolloutState::Moving | RolloutState::Emptied => RolloutEvent::Passed,
@@ -289,35 +311,36 @@
         self.advance_by(now, event, RolloutReason::Peer);
     }
 
-    /// Notes that the service has no other version.
+    /// Records that the service has no other version, so that no trial is needed.
     pub fn note_only_version(&mut self, now: Moment) {
         if self.state == RolloutState::Asked {
             self.advance_by(now, RolloutEvent::Passed, RolloutReason::OnlyVersion);
         }
     }
 
-    /// Returns whether the share of the new version, which is on trial, permits one more request there.
-    fn may_expose(&self, sight: &FleetSight, is_wide: bool) -> bool {
-        let knows_beginning = self.learnt.since(self.began) < BEGINNING;
-        let slack = if knows_beginning { self.rule.slack * USED_SLACK } else { 0.0 };
-        let slack = (slack / sight.vms.max(1) as f64).floor();
-        let permitted = self.rule.share * USED_PART * (self.placed + 1) as f64;
-        let has_room = (self.exposed + 1) as f64 <= permitted + slack
-            && (is_wide || (self.exposed_narrow + 1) as f64 <= permitted * NARROW_PART);
-        self.state == RolloutState::Trial && sight.heard_part >= LEAST_HEARD && has_room
+    /// Returns whether the exposure limit permits one more request to the new version on trial.
+    fn may_expose(&self, reachability: &FleetSight, is_wide: bool) -> bool {
+        let knows_beginning = self.learned.since(self.began) < BEGINNING_SPAN;
+        let slack = if knows_beginning { self.rule.slack * USED_SLACK_FRACTION } else { 0.0 };
+        let slack = (slack / reachability.vms.max(1) as f64).floor();
+        let permitted = self.rule.share * USED_SHARE_FRACTION * (self.placed + 1) as f64;
+        let is_within_limit = (self.exposed + 1) as f64 <= permitted + slack
+            && (is_wide || (self.exposed_narrow + 1) as f64 <= permitted * NARROW_SHARE_FRACTION);
+        let is_reachable = reachability.reachable_share >= MIN_REACHABLE_SHARE;
+        self.state == RolloutState::Trial && is_reachable && is_within_limit
     }
 
-    /// Returns those of the new version's `targets` that may get one more request now.
+    /// Returns the subset of the new version's `targets` that may get one more request now.
     pub fn slice(
         &self,
         now: Moment,
-        sight: &FleetSight,
+        reachability: &FleetSight,
         mut targets: Vec<TargetKey>,
     ) -> Vec<TargetKey> {
         let count = targets.len();
-        let slices = self.slices(now);
+        let slices = self.elapsed_slices(now);
         let is_wide = is_wide(slices);
-        if count == 0 || !self.may_expose(sight, is_wide) {
+        if count == 0 || !self.may_expose(reachability, is_wide) {
             return Vec::new();
         }
         let share = count as f64 * self.rule.share;
@@ -326,47 +349,47 @@
             return Vec::new();
         }
         targets.sort_by_key(|key| xxh3::xxh3_64(&key.0.to_le_bytes()));
-        let width = if is_wide { (narrow * WIDE).min(count) } else { narrow };
+        let width = if is_wide { (narrow * WIDE_FACTOR).min(count) } else { narrow };
         let first = slices as usize * width;
-        (first..first + width).map(|place| targets[place % count]).collect()
+        (first..first + width).map(|index| targets[index % count]).collect()
     }
 
-    /// Returns the slices that have passed at a moment.
-    fn slices(&self, at: Moment) -> f64 {
-        let span = (self.order.duration / SLICES).max(SLICE_LEAST).as_secs_f64();
+    /// Returns how many slices have passed at a moment, with the fraction of the current one.
+    fn elapsed_slices(&self, at: Moment) -> f64 {
+        let span = (self.order.duration / SLICE_COUNT).max(MIN_SLICE).as_secs_f64();
         at.since(self.began).as_secs_f64() / span
     }
 
-    /// Notes that a request was placed.
-    pub fn note_placed(&mut self, now: Moment, side: VersionSide) {
+    /// Counts a request that was placed.
+    pub fn record_placed(&mut self, now: Moment, side: VersionSide) {
         self.placed += 1;
         if side == VersionSide::New {
             self.exposed += 1;
-            self.exposed_narrow += u64::from(!is_wide(self.slices(now)));
+            self.exposed_narrow += u64::from(!is_wide(self.elapsed_slices(now)));
         }
     }
 
-    /// Notes how a run has ended.
-    pub fn note_run(&mut self, now: Moment, side: VersionSide, note: RunNote) {
+    /// Adds the result of a run to the evidence.
+    pub fn record_run(&mut self, now: Moment, side: VersionSide, sample: RunNote) {
         if !self.is_ended() {
             let narrow = side == VersionSide::New
                 && self.state == RolloutState::Trial
-                && !is_wide(self.slices(note.sent));
-            self.evidence.note(now, side, note, narrow);
+                && !is_wide(self.elapsed_slices(sample.sent));
+            self.evidence.record(now, side, sample, narrow);
         }
     }
 
-    /// Does what has fallen due; returns whether the state has changed.
-    pub fn advance(&mut self, now: Moment, scene: &RolloutScene) -> bool {
+    /// Performs the evaluations that are due; returns whether the state has changed.
+    pub fn advance(&mut self, now: Moment, context: &RolloutContext) -> bool {
         let before = self.state;
         match before {
-            RolloutState::Trial => self.judge(now, scene),
+            RolloutState::Trial => self.evaluate(now, context),
             RolloutState::Moving => {
-                self.judge(now, scene);
-                self.look_for_end(now, scene);
+                self.evaluate(now, context);
+                self.check_emptied(now, context);
             }
-            // It may still turn out bad, as long as the old version is there to go back to.
-            RolloutState::Emptied => self.judge(now, scene),
+            // The version may still fail, and a rollback is possible until the order is completed.
+            RolloutState::Emptied => self.evaluate(now, context),
             RolloutState::Asked
             | RolloutState::Condemned
             | RolloutState::Completed
@@ -375,17 +398,17 @@
         self.state != before
     }
 
-    fn judge(&mut self, now: Moment, scene: &RolloutScene) {
-        if now.since(self.judged) < JUDGE_INTERVAL {
+    fn evaluate(&mut self, now: Moment, context: &RolloutContext) {
+        if now.since(self.evaluated) < EVALUATION_INTERVAL {
             return;
         }
-        self.judged = now;
+        self.evaluated = now;
         let total = self.evidence.total();
         let recent = self.evidence.recent(now, &total);
-        let verdict = rollout_judge::judge(&JudgeCase {
+        let verdict = rollout_judge::evaluate(&EvaluationInput {
             total: &total,
             recent: &recent,
-            new_targets: scene.new_targets,
+            new_targets: context.new_targets,
             is_moving: self.state != RolloutState::Trial,
         });
         let (age, duration) = (now.since(self.began), self.order.duration);
@@ -393,12 +416,13 @@
             RolloutVerdict::Bad(reason) => {
                 self.advance_by(now, RolloutEvent::Failed, RolloutReason::Evidence(reason));
             }
-            RolloutVerdict::Good if age >= duration.mul_f64(TRIAL_PART) => {
+            RolloutVerdict::Good if age >= duration.mul_f64(MIN_TRIAL_FRACTION) => {
                 let reason = RolloutReason::Evidence(JudgeReason::AsGood);
                 self.advance_by(now, RolloutEvent::Passed, reason);
             }
             RolloutVerdict::Unsure { leans_good }
-                if self.state == RolloutState::Trial && age >= duration.mul_f64(TRIAL_LONGEST) =>
+                if self.state == RolloutState::Trial
+                    && age >= duration.mul_f64(MAX_TRIAL_FRACTION) =>
             {
                 let event = if leans_good { RolloutEvent::Passed } else { RolloutEvent::Failed };
                 self.advance_by(now, event, RolloutReason::LittleEvidence);
@@ -407,34 +431,44 @@
         }
     }
 
-    fn look_for_end(&mut self, now: Moment, scene: &RolloutScene) {
-        let left = self.left.values().filter(|(at, _)| now.since(*at) < LEFT_LIFE);
-        let left = left.fold(scene.left, |sum, (_, left)| sum.saturating_add(*left));
-        let heard = scene.sight.heard_part >= LEAST_HEARD;
-        // What was sent just before the others moved is told within a digest.
-        let settled = now.since(self.since) >= Duration::from_secs(1);
-        if left == 0 && heard && settled {
+    /// Leaves the moving state once no requests are left at the old version, or when time runs out.
+    fn check_emptied(&mut self, now: Moment, context: &RolloutContext) {
+        let reports = self.peers_in_flight_old.values();
+        let valid = reports.filter(|(at, _)| now.since(*at) < IN_FLIGHT_COUNT_TTL);
+        let in_flight =
+            valid.fold(context.in_flight_old, |sum, (_, count)| sum.saturating_add(*count));
+        let is_reachable = context.reachability.reachable_share >= MIN_REACHABLE_SHARE;
+        // Requests that peers sent just before they moved are reported within one digest interval.
+        let has_settled = now.since(self.since) >= Duration::from_secs(1);
+        if in_flight == 0 && is_reachable && has_settled {
             self.advance_by(now, RolloutEvent::Emptied, RolloutReason::NothingLeft);
         } else if now.since(self.began) + WRITE_MARGIN >= self.order.duration {
             self.advance_by(now, RolloutEvent::Emptied, RolloutReason::Deadline);
         }
     }
 
-    /// Returns what this VM must do at the operators' row now. `ahead` counts the VMs that go before it.
+    /// Returns the task that this VM must do at the operators' row now, if any.
+    ///
+    /// `ahead` is the number of VMs that are before this one in the order of [`duty_rank`]. Each of
+    /// them gets the time to do the task first.
     pub fn duty(&self, now: Moment, ahead: usize) -> Option<RolloutDuty> {
         let steps = u32::try_from(ahead).unwrap_or(u32::MAX);
-        let delay = DUTY_STEP.saturating_mul(steps);
-        if now.since(self.since) < delay.min(self.order.duration.mul_f64(DUTY_LONGEST)) {
+        let delay = DUTY_STAGGER.saturating_mul(steps);
+        if now.since(self.since) < delay.min(self.order.duration.mul_f64(MAX_DUTY_DELAY_FRACTION)) {
             return None;
         }
         let task = match self.state {
             RolloutState::Asked => RolloutTask::Open,
-            RolloutState::Moving if !self.remembered => RolloutTask::Remember,
+            RolloutState::Moving if !self.pass_stored => RolloutTask::Remember,
             RolloutState::Emptied => RolloutTask::End(RolloutWord::Completed),
             RolloutState::Condemned => RolloutTask::End(RolloutWord::RolledBack),
-            RolloutState::Trial if self.unsaid => RolloutTask::Open,
-            RolloutState::Completed if self.unsaid => RolloutTask::End(RolloutWord::Completed),
-            RolloutState::RolledBack if self.unsaid => RolloutTask::End(RolloutWord::RolledBack),
+            RolloutState::Trial if self.must_rewrite_row => RolloutTask::Open,
+            RolloutState::Completed if self.must_rewrite_row => {
+                RolloutTask::End(RolloutWord::Completed)
+            }
+            RolloutState::RolledBack if self.must_rewrite_row => {
+                RolloutTask::End(RolloutWord::RolledBack)
+            }
             RolloutState::Trial
             | RolloutState::Moving
             | RolloutState::Completed
@@ -443,8 +477,8 @@
         Some(RolloutDuty { order: self.order.clone(), task })
     }
 
-    /// Returns what peers are told.
-    pub fn mark(&self, now: Moment, left: u32, with_tallies: bool) -> RolloutMark {
+    /// Returns the progress report for peers.
+    pub fn progress(&self, now: Moment, in_flight_old: u32, with_tallies: bool) -> RolloutMark {
         let age_ms = u32::try_from(now.since(self.began).as_millis()).unwrap_or(u32::MAX);
         let with_tallies = with_tallies && !self.is_ended();
         RolloutMark {
@@ -452,18 +486,18 @@
             number: self.order.number,
             age_ms,
             state: self.state,
-            left,
-            remembered: self.remembered,
-            tallies: with_tallies.then(|| self.evidence.told()),
+            in_flight_old,
+            pass_stored: self.pass_stored,
+            tallies: with_tallies.then(|| self.evidence.own_tallies()),
         }
     }
 
-    /// Returns how long ago the order was first seen, as far as is known here.
+    /// Returns the time since any VM first saw the order, as far as this VM knows.
     pub fn age(&self, now: Moment) -> Duration {
         now.since(self.began)
     }
 
-    fn note_age(&mut self, now: Moment, age: Duration) {
+    fn update_age(&mut self, now: Moment, age: Duration) {
         self.began = self.began.min(now.before(age));
     }
 
@@ -481,7 +515,7 @@
     }
 }
 
-/// Whether the slice is a wide one in which so many slices have passed.
+/// Whether the current slice is a wide one, given how many slices have passed.
 fn is_wide(slices: f64) -> bool {
     slices as u64 % 2 == 1
 }
@@ -490,8 +524,8 @@
     matches!(state, RolloutState::Moving | RolloutState::Emptied | RolloutState::Completed)
 }
 
-/// Returns the place of a VM among those that do an order's duties; the least goes first.
-pub fn duty_place(order: &RolloutOrder, vm: &VmName) -> u64 {
+/// Returns the rank of a VM for an order's duties; the VM with the lowest rank acts first.
+pub fn duty_rank(order: &RolloutOrder, vm: &VmName) -> u64 {
     let seed = u64::from(ServiceKey::of(&order.service).0) ^ order.number.0;
     xxh3::xxh3_64_with_seed(vm.as_str().as_bytes(), seed)
 }
--- a/crates/ryetide-core/tests/rollout/fleet.rs
+++ b/crates/ryetide-core/tests/rollout/fleet.rs
@@ -251,7 +251,7 @@
     fn sight(&self, vm: usize) -> FleetSight {
         let heard = self.vms[vm].heard.values().filter(|at| self.now.since(**at) < HEARD_SPAN);
         let vms = self.vms.len();
-        FleetSight { heard_part: (heard.count() + 1) as f64 / vms as f64, vms }
+        FleetSight { reachable_share: (heard.count() + 1) as f64 / vms as f64, vms }
     }
 
     fn serve(&mut self, vm: usize) {
--- a/crates/ryetide-core/tests/rollout/versions.rs
+++ b/crates/ryetide-core/tests/rollout/versions.rs
@@ -18,7 +18,7 @@
 
 use crate::fleet;
 
-const SIGHT: FleetSight = FleetSight { heard_part: 1.0, vms: 1 };
+const SIGHT: FleetSight = FleetSight { reachable_share: 1.0, vms: 1 };
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
@@ -170,8 +170,8 @@
         number: OrderNumber(1),
         age_ms: 4_000,
         state: RolloutState::Completed,
-        left: 0,
-        remembered: false,
+        in_flight_old: 0,
+        pass_stored: false,
         tallies: None,
     };
     desk.take_marks(at(3), &"e2".into(), Incarnation(1), &[mark]);
