--- a/crates/ryetide-core/src/crash_blame.rs
+++ b/crates/ryetide-core/src/crash_blame.rs
@@ -1,96 +1,100 @@
-//! Whether a request crashes the targets that run it, or only ran beside a crash.
+//! Decides whether a request causes the crashes of the targets that run it, or was merely running
+//! there.
 //!
-//! A target that crashes takes all that runs there with it: ten requests at a full engine, of which at most one is
-//! to blame. Refused on three crashes alone, those that came back after two crashes and met a third would be turned away with
-//! it. Two things tell them apart:
+//! All requests on a target are lost when it crashes: ten on a full engine, of which at most one is
+//! the cause. If three crashes alone were enough for a refusal, innocent requests that were retried
+//! after two crashes and met a third would be refused too. Two criteria distinguish them:
 //!
-//! * *Who else was there.* The one to blame was at each of its crashes, and those beside it at some. A crash is put down to
-//!   a request only where no other one that ended there has more than half as many crashes.
-//! * *Chance.* Where targets crash for reasons of their own, a request that runs long meets such a crash now and then.
-//!   The time it spent at targets, and how often other targets crashed meanwhile, say how likely so many are.
+//! * *Co-occurrence.* The cause was running in each of its crashes, the other requests only in some
+//!   of them. A crash is attributed to a request only if no other request that ended in it has more
+//!   than half as many crashes.
+//! * *Chance.* When targets crash for other reasons, a long-running request meets such crashes now
+//!   and then. The time that it spent at targets and the crash rate of the other targets give the
+//!   probability of meeting as many.
 //!
-//! It answers a request that takes one target after the other away from everybody, which fills the line with what
-//! was lost there.
+//! Without this a single request would take down one target after another, and the requests lost
+//! there would fill the queues.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Crashes below which nobody is blamed.
-pub const LEAST_CRASHES: usize = 3;
-/// A request is blamed where it would meet as many crashes by chance less often than this: once in a million requests
-/// that are as long.
+/// The number of crashes below which a request is not considered their cause.
+pub const MIN_CRASHES: usize = 3;
+/// The greatest probability of meeting as many crashes by chance at which a request is still
+/// considered their cause: one in a million requests of the same duration.
 const CHANCE_LIMIT_PPB: u64 = 1_000;
 const BILLION: f64 = 1e9;
-/// The least span over which crashes elsewhere are counted. Crashes come in series, and one that has just begun says
-/// little of how often they come.
-pub const LEAST_SPAN: Duration = Duration::from_secs(10);
+/// The shortest time over which crashes of other targets are counted. Crashes occur in bursts, and
+/// the beginning of a burst says little about the crash rate.
+pub const MIN_SPAN: Duration = Duration::from_secs(10);
 
-/// One crash of a target under which a request ended.
+/// One crash of a target in which a request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SharedCrash {
-    /// For how long the request had been at the target.
+    /// How long the request had been at the target.
     pub ran: Duration,
-    /// The most crashes that any other request has which ended with the same target.
-    pub most_beside: usize,
+    /// The highest number of crashes of any other request that ended in this crash.
+    pub most_of_others: usize,
 }
 
-/// What is known of a request's crashes.
+/// The crashes of a request, with what is needed to decide whether it caused them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BlameCase {
-    /// The crashes under which it ended.
+pub struct AttributionCase {
+    /// The crashes in which the request ended.
     pub crashes: Vec<SharedCrash>,
-    /// Crashes of other targets since the first of them, or since [`LEAST_SPAN`].
+    /// The number of crashes without the request in the last `span`.
     pub elsewhere: usize,
-    /// The time over which those were counted.
+    /// The time since the first of its crashes, or [`MIN_SPAN`] if that is longer.
     pub span: Duration,
-    /// Targets that could have crashed.
+    /// The number of targets that could have crashed.
     pub targets: usize,
 }
 
-/// What decided about a request.
+/// The evidence for or against a request as the cause of its crashes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct BlameEvidence {
-    /// Crashes under which it ended.
+    /// The number of crashes in which it ended.
     pub crashes: usize,
-    /// Those that are put down to it.
+    /// The number of those that are attributed to it.
     pub blamed: usize,
-    /// Crashes of other targets meanwhile.
+    /// The number of crashes without it in the same time.
     pub elsewhere: usize,
-    /// Targets that could have crashed.
+    /// The number of targets that could have crashed.
     pub targets: usize,
-    /// How likely it is that a request which is not to blame met as many, in parts of a billion.
+    /// The probability that a request which causes no crash meets as many, in parts per billion.
     pub chance_ppb: u64,
 }
 
 impl BlameEvidence {
-    /// Returns whether the request is to blame.
-    pub fn is_guilty(&self) -> bool {
-        self.blamed >= LEAST_CRASHES && self.chance_ppb <= CHANCE_LIMIT_PPB
+    /// Returns whether the request is considered the cause of its crashes.
+    pub fn is_cause(&self) -> bool {
+        self.blamed >= MIN_CRASHES && self.chance_ppb <= CHANCE_LIMIT_PPB
     }
 }
 
-impl BlameCase {
-    /// Weighs the case.
+impl AttributionCase {
+    /// Evaluates the case.
     ///
     /// # Example
     ///
     /// ```
     /// use std::time::Duration;
-    /// use ryetide_core::crash_blame::{BlameCase, SharedCrash};
+    /// use ryetide_core::crash_blame::{AttributionCase, SharedCrash};
     ///
-    /// let crash = SharedCrash { ran: Duration::from_millis(80), most_beside: 1 };
+    /// let crash = SharedCrash { ran: Duration::from_millis(80), most_of_others: 1 };
     /// let span = Duration::from_secs(10);
-    /// let mut case = BlameCase { crashes: vec![crash; 3], elsewhere: 0, span, targets: 12 };
-    /// assert!(case.weigh().is_guilty());
-    /// case.crashes = vec![SharedCrash { most_beside: 8, ..crash }; 3];
-    /// assert!(!case.weigh().is_guilty());
+    /// let mut case = AttributionCase { crashes: vec![crash; 3], elsewhere: 0, span, targets: 12 };
+    /// assert!(case.evaluate().is_cause());
+    /// case.crashes = vec![SharedCrash { most_of_others: 8, ..crash }; 3];
+    /// assert!(!case.evaluate().is_cause());
     /// ```
-    pub fn weigh(&self) -> BlameEvidence {
+    pub fn evaluate(&self) -> BlameEvidence {
         let crashes = self.crashes.len();
-        let blamed = self.crashes.iter().filter(|crash| crash.most_beside * 2 <= crashes).count();
+        let blamed =
+            self.crashes.iter().filter(|crash| crash.most_of_others * 2 <= crashes).count();
         let ran: Duration = self.crashes.iter().map(|crash| crash.ran).sum();
-        // One crash more than was seen: none yet does not mean that there are none.
+        // One more crash than was observed, so that the rate is not zero before the first one.
         let crashes_per_second =
             (self.elsewhere + 1) as f64 / (self.targets.max(1) as f64 * self.span.as_secs_f64());
         let chance = chance_of(crashes, crashes_per_second * ran.as_secs_f64());
@@ -100,8 +104,9 @@
     }
 }
 
-/// Returns how likely `count` crashes are where `expected` are: the term of Poisson's series for them, which the others
-/// beyond it don't change much while few are expected.
+/// Returns an estimate of the probability of `count` crashes or more when `expected` are expected:
+/// the first term of the Poisson series, which the later terms hardly change while few are
+/// expected.
 fn chance_of(count: usize, expected: f64) -> f64 {
     (1..=count).fold(1.0, |chance, number| chance * expected / number as f64).min(1.0)
 }
--- a/crates/ryetide-core/src/crash_ledger.rs
+++ b/crates/ryetide-core/src/crash_ledger.rs
@@ -1,14 +1,17 @@
-//! Which requests ended under crashes of targets, and which of them are sent to none any more.
+//! Records which requests were running on targets that crashed, and quarantines the requests that
+//! cause crashes.
 //!
-//! A request that crashes each target which begins to run it comes again, with another id and at any VM. Each VM notes
-//! the runs that ended with a target, and tells the others; [`crash_blame`](crate::crash_blame) decides which request
-//! is to blame. That one is quarantined: its attempts get their final answer at once and reach no target, until nobody has
-//! asked for it for [`QUARANTINE_LIFE`]. A run that was answered clears its request at every VM: what crashes targets is
-//! never answered.
+//! A request that crashes every target that runs it is retried, with a new id and at any VM. Each
+//! VM records the runs that ended in a crash and reports them to the other VMs.
+//! [`crash_blame`](crate::crash_blame) decides which request caused the crashes. That request is
+//! quarantined: all attempts of it are refused at once and reach no target, until none has arrived
+//! for [`QUARANTINE_LIFE`]. A completed answer clears its request at every VM, since a request that
+//! crashes targets never gets one.
 //!
-//! What VMs tell each other may be lost, late or doubled: notes are only ever added, each names a target and the time of
-//! its crash, and all VMs come to the same ones. A peer that starts, or was not heard for long, is told everything anew. All
-//! of it ages and is bounded in number.
+//! Reports between VMs may be lost, late or duplicated. Records are therefore only added, and each
+//! is identified by a target and the time of its crash, so that all VMs converge on the same
+//! records. A peer that starts, or that was unreachable for long, is sent all of them again.
+//! Records expire, and their number is bounded.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,64 +21,68 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    crash_blame::{self, BlameCase, BlameEvidence, SharedCrash},
+    crash_blame::{self, AttributionCase, BlameEvidence, SharedCrash},
     ids::TargetKey,
     request_print::RequestPrint,
     units::Moment,
 };
 
-/// A quarantine ends when nobody has asked for its request for this long.
+/// A quarantine ends when no attempt of its request has arrived for this long.
 pub const QUARANTINE_LIFE: Duration = Duration::from_secs(600);
-/// A crash is remembered for this long: a request that is sent again each minute or two is still known by its third.
-const CRASH_LIFE: Duration = Duration::from_secs(600);
-/// That a request was answered is remembered for this long, against what is still told of it.
-const CLEARED_LIFE: Duration = Duration::from_secs(60);
-/// A request with as many crashes as may blame it waits until nothing new has been heard of them for this long: the
-/// runs that ended beside it, at other VMs, are then known too.
-const SETTLE_SPAN: Duration = Duration::from_millis(500);
-/// For how long a VM tells what it has noted itself. A peer that has not heard it for this long is told everything.
-const TOLD_SPAN: Duration = Duration::from_secs(4);
-/// What VMs note of one target within this time is one crash: a target that starts again under its old name is not back
-/// sooner, and what is told of a crash comes within it.
+/// How long a crash is kept: long enough to recognise, at its third crash, a request that is
+/// retried every minute or two.
+const CRASH_TTL: Duration = Duration::from_secs(600);
+/// How long it is kept that a request was answered, so that late reports of its earlier crashes are
+/// ignored.
+const CLEARED_TTL: Duration = Duration::from_secs(60);
+/// A request with enough crashes to be their cause waits until no report of them has arrived for
+/// this long. By then the other requests that ended in these crashes, at other VMs, are known too.
+const SETTLE_DELAY: Duration = Duration::from_millis(500);
+/// How long a VM keeps reporting its own records, and how long it sends all records after a peer
+/// has become reachable.
+const REPORT_SPAN: Duration = Duration::from_secs(4);
+/// Records of one target within this time belong to the same crash. A target that restarts under
+/// its old name takes longer, and reports of the same crash arrive within it.
 const SAME_CRASH_SPAN: Duration = Duration::from_millis(250);
-/// Crashes that are remembered, and runs that ended in all of them, and requests that were answered since; the oldest
-/// yields. An engine may run hundreds of
-/// requests at once, and the one to blame must not be lost among those of one crash.
+/// The number of crashes that are kept; the oldest is dropped.
 const CRASHES_LIMIT: usize = 256;
+/// The number of runs that are kept over all crashes, and the number of cleared requests; the
+/// oldest are dropped. An engine may run hundreds of requests at once, and the cause of a crash
+/// must not be dropped in favour of others that ended in it.
 const RUNS_LIMIT: usize = 8_192;
-/// Quarantined requests; the one that nobody has asked for the longest yields.
+/// The number of quarantined requests; the one whose last attempt is the oldest is dropped.
 const QUARANTINES_LIMIT: usize = 64;
-/// Notes of each kind in one digest: a datagram of some 20 KB.
-const MARKS_LIMIT: usize = 512;
+/// The number of reports of each kind in one digest: a datagram of some 20 KB.
+const REPORTS_LIMIT: usize = 512;
 
 /// A run that ended when its target crashed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CrashedRun {
-    /// What ran.
+    /// The request.
     pub print: RequestPrint,
-    /// For how long it had been at the target.
+    /// How long it had been at the target.
     pub ran: Duration,
 }
 
-/// A run that ended when its target crashed, as VMs tell each other.
+/// A run that ended when its target crashed, as reported to peers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct CrashMark {
-    /// What ran.
+pub struct CrashReport {
+    /// The request.
     pub print: RequestPrint,
-    /// The life of the target that ended.
+    /// The incarnation of the target that crashed.
     pub target: TargetKey,
-    /// How long ago, in milliseconds.
+    /// The time since the crash, in milliseconds.
     pub age_ms: u32,
-    /// For how long it had been there, in milliseconds.
+    /// How long the request had been at the target, in milliseconds.
     pub ran_ms: u32,
 }
 
-/// A request that was answered after a run of it had ended in a crash.
+/// A request that got a completed answer after a run of it had ended in a crash.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct ClearedMark {
+pub struct ClearedReport {
     /// The request.
     pub print: RequestPrint,
-    /// How long ago it was answered, in milliseconds.
+    /// The time since the answer, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -84,19 +91,20 @@
 pub struct QuarantineMark {
     /// The request.
     pub print: RequestPrint,
-    /// How long ago it was blamed, in milliseconds.
+    /// The time since the quarantine began, in milliseconds.
     pub age_ms: u32,
-    /// How long ago the VM that tells was last asked for it, or blamed it, in milliseconds.
+    /// The time since the last attempt at the sending VM, or since it began the quarantine, in
+    /// milliseconds.
     pub asked_ms: u32,
 }
 
-/// What VMs tell each other of crashes.
+/// A VM's report of crashes to its peers.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct CrashNews {
     /// Runs that ended in crashes.
-    pub crashes: Vec<CrashMark>,
-    /// Requests that were answered since.
-    pub cleared: Vec<ClearedMark>,
+    pub crashes: Vec<CrashReport>,
+    /// Requests that were answered afterwards.
+    pub cleared: Vec<ClearedReport>,
     /// Requests that are quarantined.
     pub quarantined: Vec<QuarantineMark>,
 }
@@ -104,109 +112,115 @@
 /// Whether a request may be sent to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestStanding {
-    /// It may.
+    /// It may be sent.
     Clear,
-    /// Not before this moment: what it has to do with crashes is not known yet.
+    /// It must wait until this moment, since reports of its crashes may still arrive.
     Unsettled(Moment),
-    /// It may not. It may again when nobody has asked for it for this long.
+    /// It must not be sent until no attempt of it has arrived for this long.
     Quarantined(Duration),
 }
 
-/// How a quarantine began or ended here, for logs.
+/// The begin or end of a quarantine at this VM, for logs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum QuarantineNews {
-    /// This VM has blamed the request.
+    /// This VM has found the request to be the cause of crashes.
     Blamed(RequestPrint, BlameEvidence),
-    /// A peer or the store tells of it.
+    /// The quarantine was received from a peer or read from the store.
     Heard(RequestPrint),
-    /// The request was answered after all.
+    /// The request got a completed answer, so it is not the cause.
     Cleared(RequestPrint),
-    /// Nobody has asked for it for long enough.
+    /// No attempt of the request has arrived for [`QUARANTINE_LIFE`], or newer quarantines took its
+    /// place.
     Expired(RequestPrint),
 }
 
-/// A moment on this VM's clock, also before its start: peers tell of what happened before.
+/// A time on this VM's clock. It is negative for times before the VM's start, of which peers
+/// report.
 type LedgerTime = i64;
 
 #[derive(Clone, Copy, Debug)]
-struct RunNote {
+struct RunRecord {
     ran: Duration,
-    /// When this VM came to know of it.
-    heard: Moment,
+    /// When this VM learned of it.
+    learned: Moment,
     /// Whether this VM sent the run.
     own: bool,
 }
 
-/// One crash: of which target, and when as this VM came to know first.
+/// The key of a crash: its target, and its time according to the first record of it at this VM.
 type CrashKey = (TargetKey, LedgerTime);
 
 #[derive(Clone, Debug)]
-struct CrashNote {
+struct CrashRecord {
     at: LedgerTime,
-    runs: BTreeMap<RequestPrint, RunNote>,
+    runs: BTreeMap<RequestPrint, RunRecord>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct ClearedNote {
+struct ClearedRecord {
     at: LedgerTime,
-    heard: Moment,
-    /// Whether this VM passed the answer on.
+    /// When this VM learned of it.
+    learned: Moment,
+    /// Whether this VM relayed the answer.
     own: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Quarantine {
     since: LedgerTime,
-    /// When it was last asked for at any VM.
-    asked: LedgerTime,
-    /// When it was last asked for here. Only this is told: what was heard came some time after it was said, and told on it
-    /// would move on with each hop and never grow old.
-    asked_here: LedgerTime,
-    /// Whether this VM keeps it in the store for all to find.
-    kept: bool,
+    /// The time of the last attempt at any VM.
+    last_attempt: LedgerTime,
+    /// The time of the last attempt at this VM. Only this time is reported to peers: a received
+    /// time includes the delay of the message, so that it would move forward with each relay and
+    /// never expire.
+    last_own_attempt: LedgerTime,
+    /// Whether this VM stores the quarantine, for VMs that start later.
+    stored: bool,
 }
 
-/// Remembers which requests ended in crashes.
+/// The records of requests that ended in crashes, and the quarantines.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
-    crashes: BTreeMap<CrashKey, CrashNote>,
-    /// How many runs ended in all of them.
+    crashes: BTreeMap<CrashKey, CrashRecord>,
+    /// The number of runs in all crashes.
     run_count: usize,
-    /// How many crashes each request has.
-    counts: BTreeMap<RequestPrint, usize>,
-    cleared: BTreeMap<RequestPrint, ClearedNote>,
+    /// The number of crashes of each request.
+    crash_counts: BTreeMap<RequestPrint, usize>,
+    cleared: BTreeMap<RequestPrint, ClearedRecord>,
     quarantines: BTreeMap<RequestPrint, Quarantine>,
-    /// Until when everything is told anew, for a peer that has not heard it.
-    retold_until: Moment,
-    /// Until when there is something that not all peers may have heard of.
+    /// Until when all records are sent, for a peer that may lack them.
+    resend_until: Moment,
+    /// Until when there is a new crash that some peers may not know.
     fresh_until: Moment,
-    news: Vec<QuarantineNews>,
+    changes: Vec<QuarantineNews>,
 }
 
 impl CrashLedger {
-    /// Notes the runs of this VM that ended when `target` crashed.
+    /// Records the runs of this VM that ended when `target` crashed.
     pub fn note_crash(&mut self, now: Moment, target: TargetKey, runs: &[CrashedRun]) {
         for run in runs {
-            let note = RunNote { ran: run.ran, heard: now, own: true };
-            self.add_run(now, target, time_of(now), run.print, note);
+            let record = RunRecord { ran: run.ran, learned: now, own: true };
+            self.add_run(now, target, time_of(now), run.print, record);
         }
-        self.fresh_until = now + SETTLE_SPAN;
+        self.fresh_until = now + SETTLE_DELAY;
     }
 
-    /// Notes that a run of a request was answered whole.
+    /// Records that a request got a completed answer.
     pub fn note_answered(&mut self, now: Moment, print: RequestPrint) {
         if self.is_suspect(print) {
-            let note = ClearedNote { at: time_of(now), heard: now, own: true };
-            self.clear(print, note);
+            let record = ClearedRecord { at: time_of(now), learned: now, own: true };
+            self.clear(print, record);
         }
     }
 
-    /// Returns whether a request has to do with a crash, so that its standing is worth asking for.
+    /// Returns whether a request was involved in a crash or is quarantined, so that
+    /// [`standing`](Self::standing) must be checked.
     pub fn is_suspect(&self, print: RequestPrint) -> bool {
-        self.counts.contains_key(&print) || self.quarantines.contains_key(&print)
+        self.crash_counts.contains_key(&print) || self.quarantines.contains_key(&print)
     }
 
-    /// Returns whether a request may be sent to one of `targets` targets.
+    /// Returns whether a request may be sent to a target, and begins its quarantine if it is the
+    /// cause of its crashes. `targets` is the number of targets that could run it.
     pub fn standing(
         &mut self,
         now: Moment,
@@ -214,11 +228,11 @@
         targets: usize,
     ) -> RequestStanding {
         if let Some(quarantine) = self.quarantines.get_mut(&print) {
-            quarantine.asked = time_of(now);
-            quarantine.asked_here = quarantine.asked;
+            quarantine.last_attempt = time_of(now);
+            quarantine.last_own_attempt = quarantine.last_attempt;
             return RequestStanding::Quarantined(QUARANTINE_LIFE);
         }
-        if self.counts.get(&print).is_none_or(|count| *count < crash_blame::LEAST_CRASHES) {
+        if self.crash_counts.get(&print).is_none_or(|count| *count < crash_blame::MIN_CRASHES) {
             return RequestStanding::Clear;
         }
         let Some((case, settled)) = self.case_of(now, print, targets) else {
@@ -227,130 +241,135 @@
         if now < settled {
             return RequestStanding::Unsettled(settled);
         }
-        let evidence = case.weigh();
-        if !evidence.is_guilty() {
+        let evidence = case.evaluate();
+        if !evidence.is_cause() {
             return RequestStanding::Clear;
         }
         let since = time_of(now);
-        let quarantine = Quarantine { since, asked: since, asked_here: since, kept: true };
+        let (last_attempt, last_own_attempt) = (since, since);
+        let quarantine = Quarantine { since, last_attempt, last_own_attempt, stored: true };
         self.add_quarantine(print, quarantine);
-        self.news.push(QuarantineNews::Blamed(print, evidence));
+        self.changes.push(QuarantineNews::Blamed(print, evidence));
         RequestStanding::Quarantined(QUARANTINE_LIFE)
     }
 
-    /// Takes what a peer tells.
-    pub fn take(&mut self, now: Moment, news: &CrashNews) {
-        for mark in &news.cleared {
-            let at = time_before(now, mark.age_ms);
-            self.clear(mark.print, ClearedNote { at, heard: now, own: false });
+    /// Adds what a peer reports.
+    pub fn take(&mut self, now: Moment, update: &CrashNews) {
+        for report in &update.cleared {
+            let at = time_before(now, report.age_ms);
+            self.clear(report.print, ClearedRecord { at, learned: now, own: false });
         }
-        for mark in &news.crashes {
-            let ran = Duration::from_millis(u64::from(mark.ran_ms));
-            let note = RunNote { ran, heard: now, own: false };
-            self.add_run(now, mark.target, time_before(now, mark.age_ms), mark.print, note);
+        for report in &update.crashes {
+            let ran = Duration::from_millis(u64::from(report.ran_ms));
+            let record = RunRecord { ran, learned: now, own: false };
+            self.add_run(now, report.target, time_before(now, report.age_ms), report.print, record);
         }
-        for mark in &news.quarantined {
-            self.take_quarantine(now, mark, false);
+        for report in &update.quarantined {
+            self.take_quarantine(now, report, false);
         }
     }
 
-    /// Takes a quarantine from the store. `own` tells whether this VM keeps it there, from an earlier life.
-    pub fn take_kept(&mut self, now: Moment, mark: &QuarantineMark, own: bool) {
-        self.take_quarantine(now, mark, own);
+    /// Adds a quarantine from the store. `own` tells whether an earlier incarnation of this VM
+    /// stored it.
+    pub fn take_kept(&mut self, now: Moment, report: &QuarantineMark, own: bool) {
+        self.take_quarantine(now, report, own);
     }
 
-    /// Returns the quarantines that this VM keeps in the store.
+    /// Returns the quarantines that this VM must keep in the store.
     pub fn kept(&self, now: Moment) -> Vec<QuarantineMark> {
-        let kept = self.quarantines.iter().filter(|(_, quarantine)| quarantine.kept);
-        kept.map(|(print, quarantine)| quarantine.mark(now, *print)).collect()
+        let stored = self.quarantines.iter().filter(|(_, quarantine)| quarantine.stored);
+        stored.map(|(print, quarantine)| quarantine.report(now, *print)).collect()
     }
 
-    /// Notes that a peer has started, or is heard again after it was not for long: it is told everything anew.
+    /// Makes full digests hold all records for a while. This is called when a peer has started, or
+    /// is reachable again after a long time.
     pub fn retell(&mut self, now: Moment) {
-        self.retold_until = now + TOLD_SPAN;
+        self.resend_until = now + REPORT_SPAN;
     }
 
-    /// Returns what a digest tells that repeats everything now and then.
+    /// Returns the report for a full digest. It holds this VM's own records and, for some time
+    /// after [`retell`](Self::retell), those of all VMs.
     pub fn whole_news(&self, now: Moment) -> CrashNews {
-        self.news_of(now, TOLD_SPAN, now < self.retold_until)
+        self.update_of(now, REPORT_SPAN, now < self.resend_until)
     }
 
-    /// Returns what a digest tells to those who may not have heard the others of this VM: no more than it has noted
-    /// itself.
+    /// Returns the report for peers that may not get the other digests of this VM. It holds this
+    /// VM's own records only.
     pub fn brief_news(&self, now: Moment) -> CrashNews {
-        self.news_of(now, TOLD_SPAN, false)
+        self.update_of(now, REPORT_SPAN, false)
     }
 
-    /// Returns what a digest of changes tells: what was noted within `span`.
+    /// Returns the report for a digest of changes. It holds this VM's own records of the last
+    /// `span`.
     pub fn changed_news(&self, now: Moment, span: Duration) -> CrashNews {
-        self.news_of(now, span, false)
+        self.update_of(now, span, false)
     }
 
-    /// Returns whether this VM has noted a crash that not all peers may have heard of.
+    /// Returns whether this VM has recorded a crash that some peers may not know.
     pub fn has_fresh(&self, now: Moment) -> bool {
         now < self.fresh_until
     }
 
-    /// Forgets what is too old.
+    /// Drops expired records and quarantines.
     pub fn age(&mut self, now: Moment) {
-        let today = time_of(now);
+        let time = time_of(now);
         let old: Vec<CrashKey> = self
             .crashes
             .iter()
-            .filter(|(_, crash)| span_between(crash.at, today) >= CRASH_LIFE)
+            .filter(|(_, crash)| span_between(crash.at, time) >= CRASH_TTL)
             .map(|(key, _)| *key)
             .collect();
         for key in old {
             self.drop_crash(key);
         }
-        self.cleared.retain(|_, note| span_between(note.at, today) < CLEARED_LIFE);
-        let news = &mut self.news;
+        self.cleared.retain(|_, record| span_between(record.at, time) < CLEARED_TTL);
+        let changes = &mut self.changes;
         self.quarantines.retain(|print, quarantine| {
-            let lives = span_between(quarantine.asked, today) < QUARANTINE_LIFE;
-            if !lives {
-                news.push(QuarantineNews::Expired(*print));
+            let is_active = span_between(quarantine.last_attempt, time) < QUARANTINE_LIFE;
+            if !is_active {
+                changes.push(QuarantineNews::Expired(*print));
             }
-            lives
+            is_active
         });
     }
 
-    /// Returns how quarantines began and ended since the last call.
+    /// Returns the begins and ends of quarantines since the last call.
     pub fn take_news(&mut self) -> Vec<QuarantineNews> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.changes)
     }
 
-    /// Returns how many requests are quarantined.
+    /// Returns the number of quarantined requests.
     pub fn quarantine_count(&self) -> usize {
         self.quarantines.len()
     }
 
-    fn take_quarantine(&mut self, now: Moment, mark: &QuarantineMark, kept: bool) {
-        let since = time_before(now, mark.age_ms);
-        let asked = time_before(now, mark.asked_ms);
-        if span_between(asked, time_of(now)) >= QUARANTINE_LIFE {
+    fn take_quarantine(&mut self, now: Moment, report: &QuarantineMark, stored: bool) {
+        let since = time_before(now, report.age_ms);
+        let last_attempt = time_before(now, report.asked_ms);
+        if span_between(last_attempt, time_of(now)) >= QUARANTINE_LIFE {
             return;
         }
-        if let Some(known) = self.quarantines.get_mut(&mark.print) {
-            known.asked = known.asked.max(asked);
-            known.kept |= kept;
+        if let Some(known) = self.quarantines.get_mut(&report.print) {
+            known.last_attempt = known.last_attempt.max(last_attempt);
+            known.stored |= stored;
             return;
         }
-        // Peers that have not heard yet that it was answered still tell of it.
-        if self.cleared.get(&mark.print).is_some_and(|cleared| cleared.at >= since) {
+        // Peers that do not know yet that the request was answered still report the quarantine.
+        if self.cleared.get(&report.print).is_some_and(|cleared| cleared.at >= since) {
             return;
         }
-        let quarantine = Quarantine { since, asked, asked_here: since, kept };
-        self.add_quarantine(mark.print, quarantine);
-        self.news.push(QuarantineNews::Heard(mark.print));
+        let quarantine = Quarantine { since, last_attempt, last_own_attempt: since, stored };
+        self.add_quarantine(report.print, quarantine);
+        self.changes.push(QuarantineNews::Heard(report.print));
     }
 
     fn add_quarantine(&mut self, print: RequestPrint, quarantine: Quarantine) {
         self.quarantines.insert(print, quarantine);
         if self.quarantines.len() > QUARANTINES_LIMIT {
-            let oldest = self.quarantines.iter().min_by_key(|(_, it)| it.asked);
+            let oldest = self.quarantines.iter().min_by_key(|(_, it)| it.last_attempt);
             if let Some(oldest) = oldest.map(|(print, _)| *print) {
                 self.quarantines.remove(&oldest);
-                self.news.push(QuarantineNews::Expired(oldest));
+                self.changes.push(QuarantineNews::Expired(oldest));
             }
         }
     }
@@ -361,20 +380,20 @@
         target: TargetKey,
         at: LedgerTime,
         print: RequestPrint,
-        note: RunNote,
+        record: RunRecord,
     ) {
         let is_cleared = self.cleared.get(&print).is_some_and(|cleared| cleared.at >= at);
-        if is_cleared || span_between(at, time_of(now)) >= CRASH_LIFE {
+        if is_cleared || span_between(at, time_of(now)) >= CRASH_TTL {
             return;
         }
         let key = self.crash_near(target, at).unwrap_or((target, at));
         let crash =
-            self.crashes.entry(key).or_insert_with(|| CrashNote { at, runs: BTreeMap::new() });
+            self.crashes.entry(key).or_insert_with(|| CrashRecord { at, runs: BTreeMap::new() });
         if crash.runs.contains_key(&print) {
             return;
         }
-        crash.runs.insert(print, note);
-        *self.counts.entry(print).or_default() += 1;
+        crash.runs.insert(print, record);
+        *self.crash_counts.entry(print).or_default() += 1;
         self.run_count += 1;
         if self.crashes.len() > CRASHES_LIMIT || self.run_count > RUNS_LIMIT {
             let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at);
@@ -384,7 +403,7 @@
         }
     }
 
-    /// Returns the crash of a target that is known and was at this time.
+    /// Returns the recorded crash of a target at about this time, if there is one.
     fn crash_near(&self, target: TargetKey, at: LedgerTime) -> Option<CrashKey> {
         let span = LedgerTime::try_from(SAME_CRASH_SPAN.as_micros()).unwrap_or(LedgerTime::MAX);
         let near = (target, at.saturating_sub(span))..=(target, at.saturating_add(span));
@@ -400,23 +419,24 @@
 
     fn uncount(&mut self, print: RequestPrint) {
         self.run_count -= 1;
-        if let Some(count) = self.counts.get_mut(&print) {
+        if let Some(count) = self.crash_counts.get_mut(&print) {
             *count -= 1;
             if *count == 0 {
-                self.counts.remove(&print);
+                self.crash_counts.remove(&print);
             }
         }
     }
 
-    /// Notes that a request was answered: whatever crashed before, it was not under this one.
-    fn clear(&mut self, print: RequestPrint, note: ClearedNote) {
-        let at = note.at;
+    /// Records that a request was answered, and removes it from all earlier crashes, since it did
+    /// not cause them.
+    fn clear(&mut self, print: RequestPrint, record: ClearedRecord) {
+        let at = record.at;
         if self.cleared.get(&print).is_some_and(|known| known.at >= at) {
             return;
         }
-        self.cleared.insert(print, note);
+        self.cleared.insert(print, record);
         if self.cleared.len() > RUNS_LIMIT {
-            let oldest = self.cleared.iter().min_by_key(|(_, note)| note.at);
+            let oldest = self.cleared.iter().min_by_key(|(_, record)| record.at);
             if let Some(oldest) = oldest.map(|(print, _)| *print) {
                 self.cleared.remove(&oldest);
             }
@@ -434,80 +454,86 @@
         }
         if self.quarantines.get(&print).is_some_and(|quarantine| quarantine.since <= at) {
             self.quarantines.remove(&print);
-            self.news.push(QuarantineNews::Cleared(print));
+            self.changes.push(QuarantineNews::Cleared(print));
         }
     }
 
-    /// Returns a request's case, and when nothing new will have been heard of it for long enough. What a request that is
-    /// quarantined already has crashed is nobody else's.
+    /// Returns the crashes of a request for evaluation, and the moment from which no further
+    /// reports of them are expected.
+    ///
+    /// Crashes that a quarantined request was involved in are left out, as that one caused them.
     fn case_of(
         &self,
         now: Moment,
         print: RequestPrint,
         targets: usize,
-    ) -> Option<(BlameCase, Moment)> {
-        let open: Vec<&CrashNote> = self
+    ) -> Option<(AttributionCase, Moment)> {
+        let unexplained: Vec<&CrashRecord> = self
             .crashes
             .values()
             .filter(|crash| !crash.runs.keys().any(|it| self.quarantines.contains_key(it)))
             .collect();
-        let own: Vec<&CrashNote> =
-            open.iter().filter(|crash| crash.runs.contains_key(&print)).copied().collect();
-        let today = time_of(now);
+        let own: Vec<&CrashRecord> =
+            unexplained.iter().filter(|crash| crash.runs.contains_key(&print)).copied().collect();
+        let time = time_of(now);
         let first = own.iter().map(|crash| crash.at).min()?;
-        let span = span_between(first, today).max(crash_blame::LEAST_SPAN);
-        let others = open.iter().filter(|crash| !crash.runs.contains_key(&print));
-        let elsewhere = others.filter(|crash| span_between(crash.at, today) <= span).count();
-        let counts = counts_of(&open);
+        let span = span_between(first, time).max(crash_blame::MIN_SPAN);
+        let others = unexplained.iter().filter(|crash| !crash.runs.contains_key(&print));
+        let elsewhere = others.filter(|crash| span_between(crash.at, time) <= span).count();
+        let counts = counts_of(&unexplained);
         let crashes: Vec<SharedCrash> =
-            own.iter().filter_map(|crash| shared(crash, print, &counts)).collect();
-        let heard = own.iter().filter_map(|crash| crash.runs.get(&print)).map(|note| note.heard);
-        let settled = heard.max()? + SETTLE_SPAN;
-        let is_enough = crashes.len() >= crash_blame::LEAST_CRASHES;
-        is_enough.then_some((BlameCase { crashes, elsewhere, span, targets }, settled))
+            own.iter().filter_map(|crash| shared_crash(crash, print, &counts)).collect();
+        let runs = own.iter().filter_map(|crash| crash.runs.get(&print));
+        let settled = runs.map(|run| run.learned).max()? + SETTLE_DELAY;
+        let is_enough = crashes.len() >= crash_blame::MIN_CRASHES;
+        is_enough.then_some((AttributionCase { crashes, elsewhere, span, targets }, settled))
     }
 
-    /// Returns what this VM has noted itself within `span`, or `all` that it knows, and what is quarantined.
-    fn news_of(&self, now: Moment, span: Duration, all: bool) -> CrashNews {
-        let is_told = |own: bool, heard: Moment| all || (own && now.since(heard) < span);
-        let mut told: Vec<(Moment, CrashMark)> = Vec::new();
+    /// Returns this VM's own records of the last `span`, or `all` records, and all quarantines.
+    fn update_of(&self, now: Moment, span: Duration, all: bool) -> CrashNews {
+        let is_reported = |own: bool, learned: Moment| all || (own && now.since(learned) < span);
+        let mut reports: Vec<(Moment, CrashReport)> = Vec::new();
         for ((target, _), crash) in &self.crashes {
             let age_ms = millis_between(crash.at, now);
-            for (print, note) in crash.runs.iter().filter(|(_, note)| is_told(note.own, note.heard))
-            {
-                let ran_ms = u32::try_from(note.ran.as_millis()).unwrap_or(u32::MAX);
-                let mark = CrashMark { print: *print, target: *target, age_ms, ran_ms };
-                told.push((note.heard, mark));
+            let runs = crash.runs.iter().filter(|(_, run)| is_reported(run.own, run.learned));
+            for (print, run) in runs {
+                let ran_ms = u32::try_from(run.ran.as_millis()).unwrap_or(u32::MAX);
+                let report = CrashReport { print: *print, target: *target, age_ms, ran_ms };
+                reports.push((run.learned, report));
             }
         }
-        told.sort_by_key(|(heard, _)| std::cmp::Reverse(*heard));
-        told.truncate(MARKS_LIMIT);
-        let cleared = self.cleared.iter().filter(|(_, note)| is_told(note.own, note.heard));
-        let cleared = cleared.take(MARKS_LIMIT);
-        let cleared_mark = |(print, note): (&RequestPrint, &ClearedNote)| ClearedMark {
+        reports.sort_by_key(|(learned, _)| std::cmp::Reverse(*learned));
+        reports.truncate(REPORTS_LIMIT);
+        let cleared = self.cleared.iter().filter(|(_, it)| is_reported(it.own, it.learned));
+        let cleared = cleared.take(REPORTS_LIMIT);
+        let cleared_report = |(print, record): (&RequestPrint, &ClearedRecord)| ClearedReport {
             print: *print,
-            age_ms: millis_between(note.at, now),
+            age_ms: millis_between(record.at, now),
         };
         CrashNews {
-            crashes: told.into_iter().map(|(_, mark)| mark).collect(),
-            cleared: cleared.map(cleared_mark).collect(),
-            quarantined: self.quarantines.iter().map(|(print, it)| it.mark(now, *print)).collect(),
+            crashes: reports.into_iter().map(|(_, report)| report).collect(),
+            cleared: cleared.map(cleared_report).collect(),
+            quarantined: self
+                .quarantines
+                .iter()
+                .map(|(print, it)| it.report(now, *print))
+                .collect(),
         }
     }
 }
 
 impl Quarantine {
-    fn mark(&self, now: Moment, print: RequestPrint) -> QuarantineMark {
+    fn report(&self, now: Moment, print: RequestPrint) -> QuarantineMark {
         QuarantineMark {
             print,
             age_ms: millis_between(self.since, now),
-            asked_ms: millis_between(self.asked_here, now),
+            asked_ms: millis_between(self.last_own_attempt, now),
         }
     }
 }
 
-/// Returns how many of `crashes` each request has.
-fn counts_of(crashes: &[&CrashNote]) -> BTreeMap<RequestPrint, usize> {
+/// Returns how many of `crashes` each request was involved in.
+fn counts_of(crashes: &[&CrashRecord]) -> BTreeMap<RequestPrint, usize> {
     let mut counts = BTreeMap::new();
     for print in crashes.iter().flat_map(|crash| crash.runs.keys()) {
         *counts.entry(*print).or_default() += 1;
@@ -515,15 +541,17 @@
     counts
 }
 
-fn shared(
-    crash: &CrashNote,
+/// Returns a crash of the request `print` with the highest number of crashes among the other
+/// requests that ended in it.
+fn shared_crash(
+    crash: &CrashRecord,
     print: RequestPrint,
     counts: &BTreeMap<RequestPrint, usize>,
 ) -> Option<SharedCrash> {
     let ran = crash.runs.get(&print)?.ran;
-    let beside: BTreeSet<&RequestPrint> = crash.runs.keys().filter(|it| **it != print).collect();
-    let most = beside.into_iter().filter_map(|it| counts.get(it)).max();
-    Some(SharedCrash { ran, most_beside: most.copied().unwrap_or(0) })
+    let others: BTreeSet<&RequestPrint> = crash.runs.keys().filter(|it| **it != print).collect();
+    let most = others.into_iter().filter_map(|it| counts.get(it)).max();
+    Some(SharedCrash { ran, most_of_others: most.copied().unwrap_or(0) })
 }
 
 fn time_of(now: Moment) -> LedgerTime {
--- a/crates/ryetide-core/src/entry_standing.rs
+++ b/crates/ryetide-core/src/entry_standing.rs
@@ -1,4 +1,4 @@
-//! Requests that crash targets: they are sent to none, and what may be one waits until that is known.
+//! Refuses quarantined requests, and delays those for which the quarantine is not decided yet.
 
 use std::time::Duration;
 
@@ -14,21 +14,21 @@
     units::Moment,
 };
 
-/// A request that waits until it is known what it has to do with crashes.
+/// A request that waits until it is decided whether it caused crashes.
 #[derive(Debug)]
 pub(crate) struct UnsettledRequest {
-    /// Until when.
+    /// The end of the wait.
     pub until: Moment,
-    /// The request, with the time that its caller had left when it came.
+    /// The request, with the time to its deadline when it arrived.
     pub request: CallerRequest,
-    /// By what it is known again.
+    /// The fingerprint of the request.
     pub print: RequestPrint,
-    /// When it came.
-    came: Moment,
+    /// When it arrived.
+    arrived: Moment,
 }
 
 impl EntryCore {
-    /// Takes a request in, unless it crashes targets.
+    /// Admits a request, delays it, or refuses it if it is quarantined.
     pub(crate) fn take_in(
         &mut self,
         now: Moment,
@@ -36,10 +36,10 @@
         effects: &mut EffectBuffer,
     ) {
         let print = print_of(&request);
-        self.take_in_known(now, request, print, effects);
+        self.decide_admission(now, request, print, effects);
     }
 
-    fn take_in_known(
+    fn decide_admission(
         &mut self,
         now: Moment,
         request: CallerRequest,
@@ -56,41 +56,43 @@
             RequestStanding::Clear => self.arrive(now, request, print, effects),
             RequestStanding::Unsettled(until) => {
                 let until = until.min(now + request.deadline);
-                self.unsettled.push(UnsettledRequest { until, request, print, came: now });
+                self.unsettled.push(UnsettledRequest { until, request, print, arrived: now });
             }
-            RequestStanding::Quarantined(life) => {
+            RequestStanding::Quarantined(span) => {
                 let (sequence, has_key) = (request.sequence, request.key.is_some());
                 let reason = RefuseReason::Quarantined;
-                let answer = FinalAnswer::NotRun { reason, retry_after: Some(life) };
+                let answer = FinalAnswer::NotRun { reason, retry_after: Some(span) };
                 let answer = entry_admission::without_claim(answer, has_key);
                 effects.push(Effect::FinishAnswer { sequence, answer });
             }
         }
     }
 
+    /// Returns the number of targets of the request's service.
     fn target_count(&self, request: &CallerRequest) -> usize {
         let catalog = self.configuration.catalog();
         let service = ServiceKey::of(&request.service.as_str().into());
         catalog.scopes_of(service).iter().map(|scope| catalog.targets_of(*scope).count()).sum()
     }
 
-    /// Takes those in of which it is known by now.
+    /// Decides on the delayed requests that are due.
     pub(crate) fn settle(&mut self, now: Moment, effects: &mut EffectBuffer) {
         let due: Vec<UnsettledRequest> =
             self.unsettled.extract_if(.., |waiting| waiting.until <= now).collect();
-        for UnsettledRequest { mut request, print, came, .. } in due {
-            // With no time left it is told at once that it came too late.
-            request.deadline = request.deadline.saturating_sub(now.since(came));
-            self.take_in_known(now, request, print, effects);
+        for UnsettledRequest { mut request, print, arrived, .. } in due {
+            // A deadline of zero makes the admission refuse the request as too late.
+            request.deadline = request.deadline.saturating_sub(now.since(arrived));
+            self.decide_admission(now, request, print, effects);
         }
     }
 
-    /// Forgets a request whose caller has gone.
+    /// Drops a delayed request whose caller has disconnected.
     pub(crate) fn forget_unsettled(&mut self, sequence: RequestSequence) {
         self.unsettled.retain(|waiting| waiting.request.sequence != sequence);
     }
 
-    /// A target has crashed under a request. One that was leaving has ended as it said it would.
+    /// Records that a target crashed while it ran a request, and reports it to all peers. The end
+    /// of a target that had announced to leave is no crash.
     pub(crate) fn target_crashed(
         &mut self,
         now: Moment,
@@ -105,17 +107,17 @@
         self.notices.push(Notice::TargetCrashed { target, print, ran_ms });
         let ran = Duration::from_millis(u64::from(ran_ms));
         self.crashes.note_crash(now, target, &[CrashedRun { print, ran }]);
-        let news = self.crashes.brief_news(now);
-        self.tell_crashes(&news, effects);
+        let update = self.crashes.brief_news(now);
+        self.tell_crashes(&update, effects);
     }
 
-    /// Tells all peers what is known of crashes, if there is anything.
-    pub(crate) fn tell_crashes(&mut self, news: &CrashNews, effects: &mut EffectBuffer) {
-        if *news == CrashNews::default() {
+    /// Sends an update on crashes to all peers, unless it is empty.
+    pub(crate) fn tell_crashes(&mut self, update: &CrashNews, effects: &mut EffectBuffer) {
+        if *update == CrashNews::default() {
             return;
         }
         for peer in self.peers.iter() {
-            let message = PeerMessage::Crashes(news.clone());
+            let message = PeerMessage::Crashes(update.clone());
             effects.push(Effect::Send { to: peer.name.clone(), message });
         }
     }
--- a/crates/ryetide-core/src/request_print.rs
+++ b/crates/ryetide-core/src/request_print.rs
@@ -1,7 +1,8 @@
-//! What a request is, whichever attempt of its caller brings it.
+//! Fingerprints that identify a request across the attempts of its caller.
 //!
-//! Each attempt has an id of its own and may come to any VM. Where it matters that two attempts are the same request,
-//! as for one that crashes targets, they are compared by what a target would see of them.
+//! Each attempt has its own id and may arrive at any VM. Where two attempts must be recognised as
+//! the same request, as for a request that crashes targets, they are compared by what a target
+//! would receive.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
@@ -10,30 +11,30 @@
 
 use crate::ids::OrganisationName;
 
-/// Stands for a request's caller, address and body: the same on every VM.
+/// A hash of a request's caller, address and body. It is the same at every VM.
 ///
 /// # Example
 ///
 /// ```
 /// use ryetide_core::request_print::{RequestContent, RequestPrint};
 ///
-/// let content = RequestContent { caller: None, method: "GET", host: "desk", path: "/a", body: b"" };
-/// let print = RequestPrint::of(&content);
-/// assert_eq!(print.to_string().parse::<RequestPrint>().unwrap(), print);
-/// assert_ne!(print, RequestPrint::of(&RequestContent { path: "/b", ..content }));
+/// let content = RequestContent { caller: None, method: "GET", host: "desk", path: "/a", body: b""
+/// }; let print = RequestPrint::of(&content);
+/// assert_eq!(print.to_string().parse::<RequestPrint>().unwrap(), print); assert_ne!(print,
+/// RequestPrint::of(&RequestContent { path: "/b", ..content }));
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct RequestPrint(pub u64);
 
-/// What of a request makes it the same request.
+/// The parts of a request that identify it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// The organisation that asks; none where the route asks for no key.
+    /// The organisation that sends it, or `None` if the route requires no key.
     pub caller: Option<&'a OrganisationName>,
     /// The method.
     pub method: &'a str,
-    /// The host that is asked for.
+    /// The requested host.
     pub host: &'a str,
     /// The path and the query.
     pub path: &'a str,
@@ -42,12 +43,13 @@
 }
 
 impl RequestPrint {
-    /// Returns the print of a request.
+    /// Returns the fingerprint of a request.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let caller = content.caller.map_or("", OrganisationName::as_str);
         let mut hasher = Xxh3::new();
         for text in [caller, content.method, content.host, content.path] {
-            // With its length, so that no part can take over what belongs to the next.
+            // Prefixed with its length, so that text cannot move from one part to the next
+            // unnoticed.
             hasher.update(&(text.len() as u64).to_le_bytes());
             hasher.update(text.as_bytes());
         }
