--- a/crates/ryetide-core/tests/crash_ledger.rs
+++ b/crates/ryetide-core/tests/crash_ledger.rs
@@ -1,4 +1,4 @@
-//! Which requests are quarantined for crashes of targets, and what VMs tell each other of them.
+//! Which requests are quarantined after crashes of targets, and the reports of crashes between VMs.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
     units::Moment,
 };
 
-const DEADLY: RequestPrint = RequestPrint(1);
-const BESIDE: RequestPrint = RequestPrint(2);
+const CRASHING: RequestPrint = RequestPrint(1);
+const INNOCENT: RequestPrint = RequestPrint(2);
 const TARGETS: usize = 12;
 const RAN: Duration = Duration::from_millis(80);
-/// Longer than the time within which news of a crash come from all VMs.
+/// Longer than the time that a ledger waits for reports of a crash.
 const SETTLED: Duration = Duration::from_secs(1);
 
 fn at(millis: u64) -> Moment {
@@ -26,7 +26,7 @@
     prints.iter().map(|print| CrashedRun { print: *print, ran: RAN }).collect()
 }
 
-/// Notes a crash for each millisecond, of a target each.
+/// Records a crash at each of these milliseconds, each of another target.
 fn crash_at(ledger: &mut CrashLedger, times: &[u64], prints: &[RequestPrint]) {
     for time in times {
         ledger.note_crash(at(*time), TargetKey(*time as u32), &runs(prints));
@@ -37,165 +37,171 @@
     matches!(ledger.standing(now, print, TARGETS), RequestStanding::Quarantined(_))
 }
 
-/// A ledger in which the deadly request is under quarantine since the first second.
+/// Returns a ledger in which the request that crashes targets is quarantined from 1.3 s on.
 fn quarantined() -> CrashLedger {
     let mut ledger = CrashLedger::default();
-    crash_at(&mut ledger, &[100, 200, 300], &[DEADLY]);
-    assert!(is_quarantined(&mut ledger, at(1_300), DEADLY));
+    crash_at(&mut ledger, &[100, 200, 300], &[CRASHING]);
+    assert!(is_quarantined(&mut ledger, at(1_300), CRASHING));
     ledger
 }
 
 #[test]
-fn two_crashes_blame_nobody_and_a_third_does() {
+fn a_request_is_quarantined_at_its_third_crash() {
     let mut ledger = CrashLedger::default();
-    crash_at(&mut ledger, &[100, 200], &[DEADLY]);
-    assert_eq!(ledger.standing(at(2_000), DEADLY, TARGETS), RequestStanding::Clear);
-    crash_at(&mut ledger, &[2_000], &[DEADLY]);
-    let standing = ledger.standing(at(2_000) + SETTLED, DEADLY, TARGETS);
+    crash_at(&mut ledger, &[100, 200], &[CRASHING]);
+    assert_eq!(ledger.standing(at(2_000), CRASHING, TARGETS), RequestStanding::Clear);
+    crash_at(&mut ledger, &[2_000], &[CRASHING]);
+    let standing = ledger.standing(at(2_000) + SETTLED, CRASHING, TARGETS);
     assert_eq!(standing, RequestStanding::Quarantined(QUARANTINE_LIFE));
-    let news = ledger.take_news();
+    let changes = ledger.take_news();
     assert!(
-        matches!(news[..], [QuarantineNews::Blamed(DEADLY, evidence)] if evidence.crashes == 3)
+        matches!(changes[..], [QuarantineNews::Blamed(CRASHING, evidence)] if evidence.crashes == 3)
     );
 }
 
-/// A target that starts again under its old name crashes again, and all of its crashes count; what two VMs tell of one crash
-/// is one.
+/// All crashes of a target that restarts under its old name count, but reports of two VMs of the
+/// same crash count once.
 #[test]
 fn each_crash_of_a_target_counts_once() {
     let mut here = CrashLedger::default();
     let target = TargetKey(7);
     for second in 1..=3 {
-        here.note_crash(at(second * 1_000), target, &runs(&[DEADLY]));
+        here.note_crash(at(second * 1_000), target, &runs(&[CRASHING]));
         let mut there = CrashLedger::default();
-        there.note_crash(at(second * 1_000 + 20), target, &runs(&[DEADLY, BESIDE]));
+        there.note_crash(at(second * 1_000 + 20), target, &runs(&[CRASHING, INNOCENT]));
         here.take(at(second * 1_000 + 30), &there.brief_news(at(second * 1_000 + 25)));
     }
-    crash_at(&mut here, &[3_400, 3_500, 3_600], &[DEADLY]);
+    crash_at(&mut here, &[3_400, 3_500, 3_600], &[CRASHING]);
     let now = at(3_600) + SETTLED;
-    assert!(is_quarantined(&mut here, now, DEADLY));
-    let news = here.take_news();
-    assert!(matches!(news[..], [QuarantineNews::Blamed(_, evidence)] if evidence.crashes == 6));
+    assert!(is_quarantined(&mut here, now, CRASHING));
+    let changes = here.take_news();
+    assert!(matches!(changes[..], [QuarantineNews::Blamed(_, evidence)] if evidence.crashes == 6));
 }
 
-/// Four targets crash. A second request had the bad luck to run at three of them, beside the one that is to blame: it comes
-/// again and is served.
+/// Guards against a quarantine of a request that happened to run at three targets crashed by
+/// another one. The other request is identified by its further crashes.
 #[test]
-fn one_that_ran_beside_three_crashes_is_served() {
+fn a_request_that_met_three_crashes_of_another_is_not_quarantined() {
     let mut ledger = CrashLedger::default();
-    crash_at(&mut ledger, &[100, 200, 300], &[DEADLY, BESIDE]);
+    crash_at(&mut ledger, &[100, 200, 300], &[CRASHING, INNOCENT]);
     let now = at(300) + SETTLED;
-    for print in [DEADLY, BESIDE] {
-        assert!(!is_quarantined(&mut ledger, now, print), "nothing tells them apart yet");
+    for print in [CRASHING, INNOCENT] {
+        assert!(!is_quarantined(&mut ledger, now, print), "they cannot be distinguished yet");
     }
-    crash_at(&mut ledger, &[1_400, 1_500, 1_600], &[DEADLY]);
+    crash_at(&mut ledger, &[1_400, 1_500, 1_600], &[CRASHING]);
     let now = at(1_600) + SETTLED;
-    assert!(is_quarantined(&mut ledger, now, DEADLY));
-    assert!(!is_quarantined(&mut ledger, now, BESIDE));
+    assert!(is_quarantined(&mut ledger, now, CRASHING));
+    assert!(!is_quarantined(&mut ledger, now, INNOCENT));
 }
 
-/// Three VMs each hold one of the deadly request's three runs, and all those of the one beside it are known here first.
-/// Whoever would decide at once would blame the wrong one.
+/// Guards against a quarantine of the wrong request because a VM decides before it has the reports
+/// of its peers. Here it knows all crashes of the innocent request first.
 #[test]
-fn nobody_is_blamed_before_the_others_runs_are_known() {
+fn no_request_is_quarantined_before_the_reports_of_peers_have_arrived() {
     let mut here = CrashLedger::default();
-    crash_at(&mut here, &[100, 200, 300], &[BESIDE]);
-    assert!(matches!(here.standing(at(310), BESIDE, TARGETS), RequestStanding::Unsettled(_)));
+    crash_at(&mut here, &[100, 200, 300], &[INNOCENT]);
+    assert!(matches!(here.standing(at(310), INNOCENT, TARGETS), RequestStanding::Unsettled(_)));
     let mut there = CrashLedger::default();
-    crash_at(&mut there, &[100, 200, 300, 400, 420, 440], &[DEADLY]);
+    crash_at(&mut there, &[100, 200, 300, 400, 420, 440], &[CRASHING]);
     here.take(at(450), &there.brief_news(at(449)));
-    assert!(!is_quarantined(&mut here, at(450) + SETTLED, BESIDE));
-    assert!(is_quarantined(&mut here, at(450) + SETTLED, DEADLY));
+    assert!(!is_quarantined(&mut here, at(450) + SETTLED, INNOCENT));
+    assert!(is_quarantined(&mut here, at(450) + SETTLED, CRASHING));
 }
 
-/// Where targets crash all the time, a request that runs long meets three crashes by chance.
+/// Guards against a quarantine of a long-running request that meets three crashes by chance, since
+/// targets crash all the time.
 #[test]
-fn three_crashes_are_no_proof_where_many_targets_crash() {
+fn three_crashes_do_not_suffice_where_many_targets_crash() {
     let mut ledger = CrashLedger::default();
     for second in 1..=10 {
         let time = second * 1_000;
         let other = RequestPrint(time);
         ledger.note_crash(at(time), TargetKey(time as u32), &runs(&[other]));
     }
-    let long = CrashedRun { print: BESIDE, ran: Duration::from_secs(2) };
+    let long = CrashedRun { print: INNOCENT, ran: Duration::from_secs(2) };
     for time in [2_500, 5_500, 8_500] {
         ledger.note_crash(at(time), TargetKey(time as u32), &[long]);
     }
-    assert!(!is_quarantined(&mut ledger, at(10_000) + SETTLED, BESIDE));
+    assert!(!is_quarantined(&mut ledger, at(10_000) + SETTLED, INNOCENT));
 }
 
-/// A lookup that hundreds of callers make runs at every target that crashes, and is answered by all others.
+/// Guards against a quarantine of a request that many callers make: it runs at every target that
+/// crashes, but the other targets answer it.
 #[test]
-fn a_request_that_is_answered_is_not_blamed() {
+fn a_request_that_is_answered_is_not_quarantined() {
     let mut ledger = CrashLedger::default();
-    crash_at(&mut ledger, &[100, 200], &[BESIDE]);
-    ledger.note_answered(at(250), BESIDE);
-    crash_at(&mut ledger, &[300, 400], &[BESIDE]);
-    assert!(!is_quarantined(&mut ledger, at(400) + SETTLED, BESIDE));
+    crash_at(&mut ledger, &[100, 200], &[INNOCENT]);
+    ledger.note_answered(at(250), INNOCENT);
+    crash_at(&mut ledger, &[300, 400], &[INNOCENT]);
+    assert!(!is_quarantined(&mut ledger, at(400) + SETTLED, INNOCENT));
 }
 
-/// A run from before the quarantine is answered after all: the request was not to blame, and all VMs let it pass.
+/// A run from before the quarantine gets a completed answer, so the request is not the cause. All
+/// VMs end its quarantine, also when an older report of it arrives later.
 #[test]
 fn an_answer_ends_a_quarantine_at_every_vm() {
     let mut here = quarantined();
     let mut there = CrashLedger::default();
     there.take(at(1_400), &here.whole_news(at(1_399)));
-    assert!(is_quarantined(&mut there, at(1_500), DEADLY));
-    here.note_answered(at(1_600), DEADLY);
+    assert!(is_quarantined(&mut there, at(1_500), CRASHING));
+    here.note_answered(at(1_600), CRASHING);
     let before = there.whole_news(at(1_610));
     there.take(at(1_620), &here.whole_news(at(1_619)));
-    assert!(!is_quarantined(&mut there, at(1_700), DEADLY));
+    assert!(!is_quarantined(&mut there, at(1_700), CRASHING));
     here.take(at(1_800), &before);
     assert!(
-        !is_quarantined(&mut here, at(1_800), DEADLY),
-        "what was said before does not bring it back"
+        !is_quarantined(&mut here, at(1_800), CRASHING),
+        "an older report does not restore the quarantine"
     );
 }
 
-/// A VM starts when two targets have crashed, and the third crashes under its run: it has been told of the two, and knows.
+/// Guards against a VM that starts after two crashes and does not count them when the third one
+/// occurs during its own run.
 #[test]
-fn a_vm_that_starts_is_told_what_was_noted_before() {
+fn a_vm_that_starts_gets_earlier_crashes() {
     let mut old = CrashLedger::default();
-    crash_at(&mut old, &[100, 200], &[DEADLY]);
+    crash_at(&mut old, &[100, 200], &[CRASHING]);
     let later = at(60_000);
-    assert!(old.whole_news(later).crashes.is_empty(), "it is not told all the time");
+    assert!(old.whole_news(later).crashes.is_empty(), "old crashes are not always reported");
     old.retell(later);
     let mut new = CrashLedger::default();
-    // The clock of a VM begins when it starts.
+    // The clock of a VM starts with the VM.
     new.take(at(5), &old.whole_news(later));
-    crash_at(&mut new, &[150], &[DEADLY]);
-    assert!(is_quarantined(&mut new, at(150) + SETTLED, DEADLY));
+    crash_at(&mut new, &[150], &[CRASHING]);
+    assert!(is_quarantined(&mut new, at(150) + SETTLED, CRASHING));
 }
 
 #[test]
-fn a_quarantine_is_told_for_as_long_as_it_lasts() {
+fn a_quarantine_is_reported_for_as_long_as_it_lasts() {
     let mut ledger = quarantined();
     let now = at(1_300) + QUARANTINE_LIFE / 2;
-    assert!(is_quarantined(&mut ledger, now, DEADLY));
-    for news in [ledger.whole_news(now), ledger.brief_news(now), ledger.changed_news(now, RAN)] {
-        assert_eq!(news.quarantined.len(), 1);
+    assert!(is_quarantined(&mut ledger, now, CRASHING));
+    for update in [ledger.whole_news(now), ledger.brief_news(now), ledger.changed_news(now, RAN)] {
+        assert_eq!(update.quarantined.len(), 1);
     }
 }
 
-/// It lasts while the request comes, and ends when it has not come for long enough.
+/// A quarantine lasts while attempts of the request arrive, and ends when none has arrived for long
+/// enough.
 #[test]
-fn a_quarantine_ends_when_nobody_asks() {
+fn a_quarantine_ends_without_further_attempts() {
     let mut ledger = quarantined();
     let mut now = at(1_300);
     for _ in 0..3 {
         now = now + QUARANTINE_LIFE / 2;
         ledger.age(now);
-        assert!(is_quarantined(&mut ledger, now, DEADLY));
+        assert!(is_quarantined(&mut ledger, now, CRASHING));
     }
     now = now + QUARANTINE_LIFE;
     ledger.age(now);
-    assert_eq!(ledger.standing(now, DEADLY, TARGETS), RequestStanding::Clear);
+    assert_eq!(ledger.standing(now, CRASHING, TARGETS), RequestStanding::Clear);
     assert_eq!(ledger.quarantine_count(), 0);
 }
 
-/// Two VMs repeat to each other what they know, each time a little late. It ends at both all the same.
+/// Guards against a quarantine that never ends because two VMs keep renewing it by their delayed
+/// reports to each other.
 #[test]
-fn a_quarantine_that_nobody_asks_for_ends_while_vms_tell_each_other() {
+fn a_quarantine_without_attempts_ends_while_vms_report_it_to_each_other() {
     let (mut here, mut there) = (quarantined(), CrashLedger::default());
     let late = Duration::from_millis(50);
     let mut now = at(1_300);
@@ -209,37 +215,37 @@
     assert_eq!((here.quarantine_count(), there.quarantine_count()), (0, 0));
 }
 
-/// A crash is forgotten in the end, so that requests that came by three in a year are not blamed.
+/// Guards against a quarantine of a request for crashes that are far apart in time.
 #[test]
-fn crashes_are_forgotten() {
+fn crashes_expire() {
     let mut ledger = CrashLedger::default();
-    crash_at(&mut ledger, &[100, 200], &[DEADLY]);
+    crash_at(&mut ledger, &[100, 200], &[CRASHING]);
     let later = at(100) + Duration::from_secs(1_000);
     ledger.age(later);
-    assert!(!ledger.is_suspect(DEADLY));
-    ledger.note_crash(later, TargetKey(9), &runs(&[DEADLY]));
-    assert!(!is_quarantined(&mut ledger, later + SETTLED, DEADLY));
+    assert!(!ledger.is_suspect(CRASHING));
+    ledger.note_crash(later, TargetKey(9), &runs(&[CRASHING]));
+    assert!(!is_quarantined(&mut ledger, later + SETTLED, CRASHING));
 }
 
-/// Engines that run two hundred requests at once crash under one of them. It is found out though nobody remembers all of
-/// those that ended with it.
+/// Guards against a cause that is not found because engines run two hundred requests at once, so
+/// that the limit of records is reached.
 #[test]
-fn the_one_to_blame_is_not_lost_among_hundreds() {
+fn the_cause_is_found_among_hundreds_of_requests() {
     let mut ledger = CrashLedger::default();
     let mut now = at(0);
     for crash in 0..8_u32 {
         now = at(u64::from(crash) * 400);
         let first = 1_000 + u64::from(crash) * 1_000;
         let mut prints: Vec<RequestPrint> = (first..first + 200).map(RequestPrint).collect();
-        prints.insert(usize::try_from(crash).expect("a small number") * 20, DEADLY);
+        prints.insert(usize::try_from(crash).expect("a small number") * 20, CRASHING);
         ledger.note_crash(now, TargetKey(crash), &runs(&prints));
     }
-    assert!(is_quarantined(&mut ledger, now + SETTLED, DEADLY));
+    assert!(is_quarantined(&mut ledger, now + SETTLED, CRASHING));
 }
 
-/// Whatever crashes, and whoever asks: what is remembered and told stays small.
+/// Records and reports stay bounded under any number of crashes, quarantines and answers.
 #[test]
-fn what_is_remembered_is_bounded() {
+fn records_and_reports_are_bounded() {
     let mut ledger = CrashLedger::default();
     for crash in 0..2_000_u32 {
         let prints: Vec<RequestPrint> =
@@ -247,18 +253,18 @@
         ledger.note_crash(at(u64::from(crash)), TargetKey(crash), &runs(&prints));
     }
     for print in 0..500 {
-        let mark =
+        let report =
             QuarantineMark { print: RequestPrint(1_000_000 + print), age_ms: 1, asked_ms: 1 };
-        ledger.take_kept(at(2_000), &mark, true);
+        ledger.take_kept(at(2_000), &report, true);
     }
     for print in 0..20_000 {
         ledger.note_answered(at(2_000), RequestPrint(180_000 + print));
     }
     ledger.retell(at(2_000));
-    let news = ledger.whole_news(at(2_000));
-    assert!(news.crashes.len() <= 512, "{} runs are told", news.crashes.len());
-    assert!(news.cleared.len() <= 512, "{} answers are told", news.cleared.len());
-    assert!(news.quarantined.len() <= 64 && ledger.kept(at(2_000)).len() <= 64);
+    let update = ledger.whole_news(at(2_000));
+    assert!(update.crashes.len() <= 512, "{} runs are reported", update.crashes.len());
+    assert!(update.cleared.len() <= 512, "{} answers are reported", update.cleared.len());
+    assert!(update.quarantined.len() <= 64 && ledger.kept(at(2_000)).len() <= 64);
     let suspects = (0..200_000).filter(|print| ledger.is_suspect(RequestPrint(*print))).count();
-    assert!(suspects <= 256 * 32, "{suspects} requests are remembered");
+    assert!(suspects <= 256 * 32, "{suspects} requests are recorded");
 }
--- a/crates/ryetide-core/tests/crash_load/main.rs
+++ b/crates/ryetide-core/tests/crash_load/main.rs
@@ -1,80 +1,86 @@
-//! Loads in which targets crash: under requests that come again and again, and for reasons of their own. Nine VMs, each
-//! with its ledger, tell each other what they note; what counts is which requests targets get, and who is refused.
+//! Loads in which targets crash, because of requests that are retried again and again or for other
+//! reasons. Nine VMs with a crash ledger each report to each other; the tests check which requests
+//! reach targets and which are refused.
 
-mod crash_play;
+mod simulation;
 
 use std::time::Duration;
 
-use crash_play::{CrashPlay, PlayOutcome, PlayPlan};
+use simulation::{CrashSimulation, SimulationOutcome, SimulationPlan};
 
 const SEEDS: u64 = 12;
-/// What is permitted: no more than this many attempts that a caller makes later than this after the third crash may
-/// reach targets.
+/// Attempts that are made later than this after a request's third crash are counted.
 const SETTLED_SPAN: Duration = Duration::from_secs(3);
+/// The number of those attempts that may still reach targets.
 const PERMITTED_LATER: usize = 3;
 
-fn play(plan: &PlayPlan) -> Vec<PlayOutcome> {
-    (0..SEEDS).map(|seed| CrashPlay::new(plan.clone(), seed).play()).collect()
+fn run(plan: &SimulationPlan) -> Vec<SimulationOutcome> {
+    (0..SEEDS).map(|seed| CrashSimulation::new(plan.clone(), seed).run()).collect()
 }
 
-fn check_deadly(outcomes: &[PlayOutcome]) {
+fn check_crashing(outcomes: &[SimulationOutcome]) {
     for (seed, outcome) in outcomes.iter().enumerate() {
         for (name, later) in outcome.attempts_later_than(SETTLED_SPAN) {
             assert!(
                 later <= PERMITTED_LATER,
-                "seed {seed}: {name} reached targets {later} times more"
+                "seed {seed}: {name} reached targets {later} more times"
             );
         }
     }
 }
 
-fn check_innocent(outcomes: &[PlayOutcome]) {
+fn check_innocent(outcomes: &[SimulationOutcome]) {
     for (seed, outcome) in outcomes.iter().enumerate() {
         let refused = &outcome.innocent_refused;
-        assert!(refused.is_empty(), "seed {seed}: {refused:?} are refused for what others did");
+        assert!(refused.is_empty(), "seed {seed}: {refused:?} are refused but crash no target");
     }
 }
 
-/// Five requests, one after the other, each come again for six seconds and crash each target that begins to run them.
-/// With each target some ten other requests end at up to nine VMs; they come again too, and many meet a second and a
-/// third crash. The five are soon sent to nobody, and all others are served.
+/// Five requests, one after the other, are retried for six seconds and crash every target that runs
+/// them. With each target about ten other requests of up to nine VMs end; they are retried too, and
+/// many meet a second and a third crash. The five must soon reach no target, and no other request
+/// may be refused.
 #[test]
-fn requests_that_crash_targets_are_found_among_those_beside_them() {
-    let outcomes = play(&PlayPlan { deadly: 5, ..PlayPlan::default() });
-    check_deadly(&outcomes);
+fn requests_that_crash_targets_are_distinguished_from_others_at_the_same_targets() {
+    let outcomes = run(&SimulationPlan { crashing: 5, ..SimulationPlan::default() });
+    check_crashing(&outcomes);
     check_innocent(&outcomes);
 }
 
-/// The same with two such requests at a time: some that ran beside one of them run beside the other next.
+/// The same with two such requests at a time, so that other requests meet crashes of both.
 #[test]
-fn two_that_crash_targets_at_once_are_told_apart() {
-    let outcomes = play(&PlayPlan { deadly: 6, at_once: 2, ..PlayPlan::default() });
-    check_deadly(&outcomes);
+fn two_requests_that_crash_targets_at_once_are_distinguished() {
+    let outcomes = run(&SimulationPlan { crashing: 6, at_once: 2, ..SimulationPlan::default() });
+    check_crashing(&outcomes);
     check_innocent(&outcomes);
 }
 
-/// Targets crash for reasons of their own, a third of them each two seconds. Long requests meet three crashes in a row
-/// now and then, and nobody is to blame.
+/// Guards against a quarantine of requests that meet three crashes in a row by chance: a third of
+/// the targets crashes every two seconds, and no request causes it.
 #[test]
-fn targets_that_crash_by_themselves_put_nobody_under_quarantine() {
-    let plan = PlayPlan { own_crashes: Some(Duration::from_secs(2)), ..PlayPlan::default() };
-    check_innocent(&play(&plan));
+fn crashes_that_no_request_causes_quarantine_none() {
+    let unrelated_crashes = Some(Duration::from_secs(2));
+    check_innocent(&run(&SimulationPlan { unrelated_crashes, ..SimulationPlan::default() }));
 }
 
-/// Both at once: crashes of their own hide the request that crashes targets no longer than is permitted.
+/// Unrelated crashes at the same time must not delay the quarantine of a request that crashes
+/// targets for longer than is permitted.
 #[test]
-fn crashes_of_their_own_do_not_hide_a_request_that_crashes_targets() {
-    let own_crashes = Some(Duration::from_secs(5));
-    let outcomes = play(&PlayPlan { deadly: 4, own_crashes, ..PlayPlan::default() });
-    check_deadly(&outcomes);
+fn unrelated_crashes_do_not_hide_a_request_that_crashes_targets() {
+    let unrelated_crashes = Some(Duration::from_secs(5));
+    let plan = SimulationPlan { crashing: 4, unrelated_crashes, ..SimulationPlan::default() };
+    let outcomes = run(&plan);
+    check_crashing(&outcomes);
     check_innocent(&outcomes);
 }
 
-/// A VM in three is killed each second and starts again with nothing: it is told what the others know.
+/// Guards against VMs that let requests pass which crash targets, because they were restarted and
+/// lost their records: one VM in three restarts every second and must get the records of the
+/// others.
 #[test]
-fn vms_that_start_again_know_what_the_others_know() {
+fn restarted_vms_get_the_records_of_the_others() {
     let restarts = Some(Duration::from_secs(1));
-    let outcomes = play(&PlayPlan { deadly: 5, restarts, ..PlayPlan::default() });
-    check_deadly(&outcomes);
+    let outcomes = run(&SimulationPlan { crashing: 5, restarts, ..SimulationPlan::default() });
+    check_crashing(&outcomes);
     check_innocent(&outcomes);
 }
--- a/crates/ryetide-core/tests/crash_load/crash_play.rs
+++ b/crates/ryetide-core/tests/crash_load/simulation.rs
@@ -1,4 +1,4 @@
-//! A model of VMs, targets that crash, and callers who come again.
+//! A simulation of VMs, targets that crash, and callers that retry.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,60 +15,63 @@
 const SLOTS: usize = 9;
 const STEP: Duration = Duration::from_millis(10);
 const LENGTH: Duration = Duration::from_secs(45);
-/// Requests of callers in each step, on the mean: the engines are some two thirds full.
+/// The mean number of requests in each step, which fills the targets to about two thirds.
 const ARRIVALS_PER_STEP: f64 = 0.7;
-/// How long a target that has crashed is away.
-const AWAY_SPAN: Duration = Duration::from_millis(3_000);
-/// The time between two attempts of a caller whose request crashes targets, and for how long it comes again.
-const DEADLY_PAUSE: Duration = Duration::from_millis(250);
-const DEADLY_SPAN: Duration = Duration::from_secs(6);
-const DEADLY_STRIDE: Duration = Duration::from_secs(7);
+/// How long a target that has crashed is down.
+const DOWN_SPAN: Duration = Duration::from_millis(3_000);
+/// The time between two attempts at a request that crashes targets.
+const CRASHING_PAUSE: Duration = Duration::from_millis(250);
+/// How long its caller retries it.
+const CRASHING_SPAN: Duration = Duration::from_secs(6);
+/// The time between the first attempts at two such requests.
+const CRASHING_STRIDE: Duration = Duration::from_secs(7);
 const CHANGES_INTERVAL: Duration = Duration::from_millis(50);
-const WHOLE_INTERVAL: Duration = Duration::from_millis(400);
-const DELAY: Duration = Duration::from_millis(10);
-/// The part of the messages that is lost.
+const FULL_INTERVAL: Duration = Duration::from_millis(400);
+const MESSAGE_DELAY: Duration = Duration::from_millis(10);
+/// The fraction of the messages that is lost.
 const LOSS: f64 = 0.1;
-/// Runs of one attempt.
-const ATTEMPTS: u32 = 2;
-/// A peer that was not heard for this long is told everything when it is heard again.
-const HEARD_SPAN: Duration = Duration::from_millis(2_500);
+/// The number of runs of one attempt.
+const RUNS_PER_ATTEMPT: u32 = 2;
+/// A peer that was silent for this long is sent all records when a message of it arrives.
+const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// What is played.
+/// The load and the faults of a simulation.
 #[derive(Clone, Debug)]
-pub struct PlayPlan {
-    /// Requests that crash targets.
-    pub deadly: usize,
-    /// How many of them come at the same time.
+pub struct SimulationPlan {
+    /// The number of requests that crash targets.
+    pub crashing: usize,
+    /// How many of them are sent at the same time.
     pub at_once: usize,
-    /// The time between two crashes of a third of the targets.
-    pub own_crashes: Option<Duration>,
+    /// The time between two crashes of a third of the targets that no request causes.
+    pub unrelated_crashes: Option<Duration>,
     /// The time between two restarts of a third of the VMs.
     pub restarts: Option<Duration>,
 }
 
-impl Default for PlayPlan {
+impl Default for SimulationPlan {
     fn default() -> Self {
-        Self { deadly: 0, at_once: 1, own_crashes: None, restarts: None }
+        Self { crashing: 0, at_once: 1, unrelated_crashes: None, restarts: None }
     }
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Debug, Default)]
-pub struct PlayOutcome {
-    /// When targets crashed under each request, and when its attempts were made that reached targets.
-    deadly: BTreeMap<RequestPrint, (Vec<Moment>, Vec<Moment>)>,
-    /// Requests that crash nothing and were refused.
+pub struct SimulationOutcome {
+    /// For each request that crashes targets, the times of its crashes, and the times of those
+    /// attempts that reached targets.
+    crashing: BTreeMap<RequestPrint, (Vec<Moment>, Vec<Moment>)>,
+    /// Refused requests that crash no target.
     pub innocent_refused: Vec<RequestPrint>,
 }
 
-impl PlayOutcome {
-    /// Returns how many attempts of each deadly request reached targets that were made later than `span` after its third
-    /// crash.
+impl SimulationOutcome {
+    /// Returns, for each request that crashes targets, the number of attempts that were made later
+    /// than `span` after its third crash and reached targets.
     pub fn attempts_later_than(
         &self,
         span: Duration,
     ) -> impl Iterator<Item = (RequestPrint, usize)> {
-        self.deadly.iter().filter_map(move |(print, (crashes, attempts))| {
+        self.crashing.iter().filter_map(move |(print, (crashes, attempts))| {
             let third = *crashes.get(2)?;
             Some((*print, attempts.iter().filter(|at| **at > third + span).count()))
         })
@@ -79,11 +82,12 @@
 #[derive(Clone, Debug)]
 struct Call {
     print: RequestPrint,
-    deadly: bool,
+    /// Whether it crashes targets.
+    crashing: bool,
     vm: usize,
     /// When this attempt was made.
     made: Moment,
-    /// It waits until then.
+    /// The end of its wait.
     wake: Moment,
     span: Duration,
     runs_left: u32,
@@ -108,29 +112,33 @@
     at: Moment,
     from: usize,
     to: usize,
-    news: CrashNews,
+    update: CrashNews,
 }
 
 struct Vm {
     ledger: CrashLedger,
-    /// When each peer was heard last, in its present life.
-    heard: Vec<Option<Moment>>,
-    life: u32,
-    told_changes: Moment,
-    told_whole: Moment,
+    /// When the last message of each peer's current incarnation arrived.
+    received: Vec<Option<Moment>>,
+    incarnation: u32,
+    changes_sent: Moment,
+    full_sent: Moment,
 }
 
 impl Vm {
-    fn new(life: u32) -> Self {
-        let told = Moment::default();
-        let heard = vec![None; VMS];
-        Self { ledger: CrashLedger::default(), heard, life, told_changes: told, told_whole: told }
+    fn new(incarnation: u32) -> Self {
+        Self {
+            ledger: CrashLedger::default(),
+            received: vec![None; VMS],
+            incarnation,
+            changes_sent: Moment::default(),
+            full_sent: Moment::default(),
+        }
     }
 }
 
-/// A play.
-pub struct CrashPlay {
-    plan: PlayPlan,
+/// A simulation in progress.
+pub struct CrashSimulation {
+    plan: SimulationPlan,
     rng: SmallRng,
     now: Moment,
     vms: Vec<Vm>,
@@ -139,13 +147,13 @@
     messages: Vec<Message>,
     next_print: u64,
     next_key: u32,
-    outcome: PlayOutcome,
+    outcome: SimulationOutcome,
 }
 
-impl CrashPlay {
-    /// Prepares a play.
-    pub fn new(plan: PlayPlan, seed: u64) -> Self {
-        let mut play = Self {
+impl CrashSimulation {
+    /// Creates a simulation.
+    pub fn new(plan: SimulationPlan, seed: u64) -> Self {
+        let mut simulation = Self {
             plan,
             rng: SmallRng::seed_from_u64(seed),
             now: Moment::from_millis(1),
@@ -155,27 +163,27 @@
             messages: Vec::new(),
             next_print: 1_000,
             next_key: 0,
-            outcome: PlayOutcome::default(),
+            outcome: SimulationOutcome::default(),
         };
         for _ in 0..TARGETS {
-            let (key, up_at) = (play.draw_key(), play.now);
-            play.targets.push(Target { key, up_at, runs: Vec::new() });
+            let (key, up_at) = (simulation.draw_key(), simulation.now);
+            simulation.targets.push(Target { key, up_at, runs: Vec::new() });
         }
-        play
+        simulation
     }
 
-    /// Plays to the end.
-    pub fn play(mut self) -> PlayOutcome {
+    /// Runs the simulation to its end.
+    pub fn run(mut self) -> SimulationOutcome {
         let end = self.now + LENGTH;
         while self.now < end {
-            self.take_messages();
+            self.deliver_messages();
             self.arrive();
-            self.arrive_deadly();
+            self.arrive_crashing();
             self.end_runs();
             self.crash_some();
             self.restart_some();
-            self.place();
-            self.tell();
+            self.dispatch();
+            self.send_messages();
             self.now = self.now + STEP;
         }
         self.outcome
@@ -186,7 +194,7 @@
         TargetKey(self.next_key)
     }
 
-    /// Returns whether something that happens each `interval` happens in this step.
+    /// Returns whether an event with the period `interval` occurs in this step.
     fn is_due(&self, interval: Duration) -> bool {
         let (interval, step) = (interval.as_micros() as u64, STEP.as_micros() as u64);
         self.now.0 % interval < step
@@ -202,7 +210,7 @@
             } else {
                 self.rng.random_range(60..400)
             };
-            // One caller in ten comes again more often than it is asked to.
+            // One caller in ten retries more often than it is asked to.
             let retries_left = if self.rng.random_bool(0.1) { 4 } else { 1 };
             self.next_print += 1;
             let print = RequestPrint(self.next_print);
@@ -210,28 +218,28 @@
         }
     }
 
-    fn arrive_deadly(&mut self) {
-        if !self.is_due(DEADLY_PAUSE) {
+    fn arrive_crashing(&mut self) {
+        if !self.is_due(CRASHING_PAUSE) {
             return;
         }
-        for number in 0..self.plan.deadly {
+        for number in 0..self.plan.crashing {
             let wave = (number / self.plan.at_once) as u32;
-            let from = Moment::from_millis(3_000) + DEADLY_STRIDE * wave;
-            if from <= self.now && self.now < from + DEADLY_SPAN {
+            let from = Moment::from_millis(3_000) + CRASHING_STRIDE * wave;
+            if from <= self.now && self.now < from + CRASHING_SPAN {
                 let millis = self.rng.random_range(20..160);
                 self.call(RequestPrint(number as u64), true, Duration::from_millis(millis), 0);
             }
         }
     }
 
-    fn call(&mut self, print: RequestPrint, deadly: bool, span: Duration, retries_left: u32) {
+    fn call(&mut self, print: RequestPrint, crashing: bool, span: Duration, retries_left: u32) {
         let vm = self.rng.random_range(0..VMS);
         let (made, wake) = (self.now, self.now);
-        let runs_left = ATTEMPTS;
+        let runs_left = RUNS_PER_ATTEMPT;
         let reached = false;
         self.calls.push(Call {
             print,
-            deadly,
+            crashing,
             vm,
             made,
             wake,
@@ -242,8 +250,8 @@
         });
     }
 
-    /// Sends what may be sent to the targets that have a place.
-    fn place(&mut self) {
+    /// Sends all waiting requests that may be sent to targets with a free slot.
+    fn dispatch(&mut self) {
         for mut call in std::mem::take(&mut self.calls) {
             if call.wake > self.now {
                 self.calls.push(call);
@@ -257,7 +265,7 @@
                     call.wake = until;
                     self.calls.push(call);
                 }
-                RequestStanding::Quarantined(_) if call.deadly => {}
+                RequestStanding::Quarantined(_) if call.crashing => {}
                 RequestStanding::Quarantined(_) => self.outcome.innocent_refused.push(call.print),
             }
         }
@@ -273,8 +281,8 @@
             self.calls.push(call);
             return;
         }
-        if call.deadly && !std::mem::replace(&mut call.reached, true) {
-            self.outcome.deadly.entry(call.print).or_default().1.push(call.made);
+        if call.crashing && !std::mem::replace(&mut call.reached, true) {
+            self.outcome.crashing.entry(call.print).or_default().1.push(call.made);
         }
         call.runs_left -= 1;
         let drawn = self.rng.random_range(0..free.len());
@@ -284,13 +292,13 @@
 
     fn end_runs(&mut self) {
         let mut crashed = Vec::new();
-        for (slot, target) in self.targets.iter_mut().enumerate() {
+        for (index, target) in self.targets.iter_mut().enumerate() {
             let ended = target.runs.extract_if(.., |run| run.until <= self.now);
             for run in ended.collect::<Vec<Run>>() {
-                if run.call.deadly {
-                    let at = &mut self.outcome.deadly.entry(run.call.print).or_default().0;
+                if run.call.crashing {
+                    let at = &mut self.outcome.crashing.entry(run.call.print).or_default().0;
                     at.push(self.now);
-                    crashed.push(slot);
+                    crashed.push(index);
                     target.runs.push(run);
                 } else {
                     self.vms[run.call.vm].ledger.note_answered(self.now, run.call.print);
@@ -298,39 +306,39 @@
             }
         }
         crashed.dedup();
-        for slot in crashed {
-            self.crash(slot);
+        for index in crashed {
+            self.crash(index);
         }
     }
 
     fn crash_some(&mut self) {
-        if !self.plan.own_crashes.is_some_and(|interval| self.is_due(interval)) {
+        if !self.plan.unrelated_crashes.is_some_and(|interval| self.is_due(interval)) {
             return;
         }
-        let slots: Vec<usize> = (0..TARGETS).collect();
+        let indices: Vec<usize> = (0..TARGETS).collect();
         let drawn: Vec<usize> =
-            slots.choose_multiple(&mut self.rng, TARGETS / 3).copied().collect();
-        for slot in drawn {
-            if self.targets[slot].up_at <= self.now {
-                self.crash(slot);
+            indices.choose_multiple(&mut self.rng, TARGETS / 3).copied().collect();
+        for index in drawn {
+            if self.targets[index].up_at <= self.now {
+                self.crash(index);
             }
         }
     }
 
-    fn crash(&mut self, slot: usize) {
+    fn crash(&mut self, index: usize) {
         let key = self.draw_key();
-        let target = &mut self.targets[slot];
-        let ended = std::mem::replace(&mut target.key, key);
-        target.up_at = self.now + AWAY_SPAN;
+        let target = &mut self.targets[index];
+        let crashed = std::mem::replace(&mut target.key, key);
+        target.up_at = self.now + DOWN_SPAN;
         for Run { mut call, since, .. } in std::mem::take(&mut target.runs) {
             let run = CrashedRun { print: call.print, ran: self.now.since(since) };
-            self.vms[call.vm].ledger.note_crash(self.now, ended, &[run]);
+            self.vms[call.vm].ledger.note_crash(self.now, crashed, &[run]);
             if call.runs_left == 0 {
                 if call.retries_left == 0 {
                     continue;
                 }
                 call.retries_left -= 1;
-                call.runs_left = ATTEMPTS;
+                call.runs_left = RUNS_PER_ATTEMPT;
                 call.vm = self.rng.random_range(0..VMS);
                 call.made = self.now;
                 call.wake = self.now + Duration::from_millis(self.rng.random_range(20..200));
@@ -339,58 +347,58 @@
         }
     }
 
-    /// Restarts a third of the VMs; what they held goes with them.
+    /// Restarts a third of the VMs, which lose all their requests and records.
     fn restart_some(&mut self) {
         if !self.plan.restarts.is_some_and(|interval| self.is_due(interval)) {
             return;
         }
         for vm in 0..VMS {
             if self.rng.random_bool(1.0 / 3.0) {
-                let life = self.vms[vm].life + 1;
-                self.vms[vm] = Vm::new(life);
+                let incarnation = self.vms[vm].incarnation + 1;
+                self.vms[vm] = Vm::new(incarnation);
                 self.calls.retain(|call| call.vm != vm);
                 for target in &mut self.targets {
                     target.runs.retain(|run| run.call.vm != vm);
                 }
                 for peer in &mut self.vms {
-                    peer.heard[vm] = None;
+                    peer.received[vm] = None;
                 }
             }
         }
     }
 
-    fn tell(&mut self) {
+    fn send_messages(&mut self) {
         for from in 0..VMS {
             let vm = &mut self.vms[from];
-            let whole = self.now.since(vm.told_whole) >= WHOLE_INTERVAL;
-            if !whole && self.now.since(vm.told_changes) < CHANGES_INTERVAL {
+            let is_full = self.now.since(vm.full_sent) >= FULL_INTERVAL;
+            if !is_full && self.now.since(vm.changes_sent) < CHANGES_INTERVAL {
                 continue;
             }
-            vm.told_changes = self.now;
-            let news = if whole {
-                vm.told_whole = self.now;
+            vm.changes_sent = self.now;
+            let update = if is_full {
+                vm.full_sent = self.now;
                 vm.ledger.whole_news(self.now)
             } else {
                 vm.ledger.changed_news(self.now, CHANGES_INTERVAL * 3)
             };
             for to in (0..VMS).filter(|to| *to != from) {
                 if !self.rng.random_bool(LOSS) {
-                    let at = self.now + DELAY;
-                    self.messages.push(Message { at, from, to, news: news.clone() });
+                    let at = self.now + MESSAGE_DELAY;
+                    self.messages.push(Message { at, from, to, update: update.clone() });
                 }
             }
         }
     }
 
-    fn take_messages(&mut self) {
+    fn deliver_messages(&mut self) {
         let now = self.now;
         for message in self.messages.extract_if(.., |it| it.at <= now).collect::<Vec<Message>>() {
             let vm = &mut self.vms[message.to];
-            let heard = vm.heard[message.from].replace(now);
-            if heard.is_none_or(|heard| now.since(heard) >= HEARD_SPAN) {
+            let previous = vm.received[message.from].replace(now);
+            if previous.is_none_or(|at| now.since(at) >= PEER_TIMEOUT) {
                 vm.ledger.retell(now);
             }
-            vm.ledger.take(now, &message.news);
+            vm.ledger.take(now, &message.update);
         }
     }
 }
--- a/crates/ryetide-core/tests/rollout/behaviour.rs
+++ b/crates/ryetide-core/tests/rollout/behaviour.rs
@@ -1,83 +1,83 @@
-//! What the versions of a modelled service do with requests.
+//! A model of the answers of a service's old and new version.
 
 use std::time::Duration;
 
 use rand::{Rng, rngs::StdRng};
 use ryetide_core::rollout_evidence::VersionSide;
 
-/// What may be wrong with a new version.
+/// The fault of a new version, if any.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NewVersion {
     Good,
-    /// This part of its answers are failures.
+    /// This fraction of its answers fails.
     Fails(f64),
-    /// This part of its answers take so many times as long.
+    /// This fraction of its answers takes this many times as long.
     Slow(f64, f64),
-    /// It begins to fail so long after the order.
+    /// This fraction of its answers fails, from this time after the order on.
     FailsLate(Duration, f64),
-    /// It fails while its targets are as full as the old ones.
+    /// This fraction of the answers fails at targets that are as loaded as the old ones.
     FailsLoaded(f64),
-    /// It fails on the first route only.
+    /// This fraction of the answers on the first route fails.
     FailsOneRoute(f64),
 }
 
-/// A service and its answers.
+/// How the versions of a service answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
     pub new: NewVersion,
-    /// Failures of every version.
+    /// The failure rate of every version.
     pub own_failures: f64,
-    /// One target in so many of either version is four times slower than the others.
+    /// One in this many targets of either version is four times slower than the others.
     pub slow_hardware: u32,
-    /// One target of the new version that fails this part by itself.
-    pub grey: f64,
+    /// The failure rate of one faulty target of the new version.
+    pub faulty_target: f64,
 }
 
 impl Behaviour {
     pub fn of(new: NewVersion) -> Self {
-        Self { new, own_failures: 0.02, slow_hardware: 3, grey: 0.0 }
+        Self { new, own_failures: 0.02, slow_hardware: 3, faulty_target: 0.0 }
     }
 }
 
-/// A request as it is served.
+/// A request at a target.
 #[derive(Clone, Copy, Debug)]
 pub struct ServedRun {
     pub side: VersionSide,
-    /// The target's place among those of its version.
+    /// The index of the target among those of its version.
     pub target: usize,
     pub route: usize,
-    /// How long ago the order came.
+    /// The time since the order.
     pub age: Duration,
-    /// Whether its target is as full as the old version's are.
+    /// Whether its target is as loaded as those of the old version.
     pub loaded: bool,
 }
 
 impl Behaviour {
-    /// Returns how long an answer takes, or nothing when it fails.
+    /// Returns how long the answer takes, or `None` if it fails.
     pub fn serve(&self, rng: &mut StdRng, run: ServedRun) -> Option<Duration> {
         let is_new = run.side == VersionSide::New;
         let fails = match self.new {
-            NewVersion::Fails(part) if is_new => part,
-            NewVersion::FailsLate(after, part) if is_new && run.age >= after => part,
-            NewVersion::FailsLoaded(part) if is_new && run.loaded => part,
-            NewVersion::FailsOneRoute(part) if is_new && run.route == 0 => part,
+            NewVersion::Fails(rate) if is_new => rate,
+            NewVersion::FailsLate(after, rate) if is_new && run.age >= after => rate,
+            NewVersion::FailsLoaded(rate) if is_new && run.loaded => rate,
+            NewVersion::FailsOneRoute(rate) if is_new && run.route == 0 => rate,
             _ => self.own_failures,
         };
-        let grey = if is_new && run.target == 0 { self.grey } else { 0.0 };
-        if rng.random_bool(fails.max(grey)) {
+        let of_target = if is_new && run.target == 0 { self.faulty_target } else { 0.0 };
+        if rng.random_bool(fails.max(of_target)) {
             return None;
         }
-        // A long-tailed time around 60 ms.
+        // Long-tailed around 60 ms.
         let spread: f64 = (0..4).map(|_| rng.random_range(-1.0..1.0)).sum::<f64>() * 0.7;
         let mut millis = 60.0 * spread.exp();
         if (run.target as u32).is_multiple_of(self.slow_hardware) {
             millis *= 4.0;
         }
-        if let NewVersion::Slow(part, times) = self.new
+        if let NewVersion::Slow(rate, factor) = self.new
             && is_new
-            && rng.random_bool(part)
+            && rng.random_bool(rate)
         {
-            millis *= times;
+            millis *= factor;
         }
         Some(Duration::from_secs_f64(millis / 1e3))
     }
--- a/crates/ryetide-core/tests/rollout/exposure.rs
+++ b/crates/ryetide-core/tests/rollout/exposure.rs
@@ -1,4 +1,4 @@
-//! A version on trial gets at most its share, whatever the VMs know of each other.
+//! The limit on the requests to a version on trial, with VMs that cannot communicate.
 
 use std::time::Duration;
 
@@ -10,8 +10,9 @@
     fleet::{Fleet, FleetPlan},
 };
 
-/// VMs are cut off from each other, freeze, die and start anew at random, and the store comes and goes. None knows what the
-/// others have sent.
+/// Guards against a version on trial that gets more than its share because VMs do not know what the
+/// others have sent: they are partitioned, frozen, killed and restarted at random, and the store is
+/// unavailable at times.
 #[test]
 fn no_partition_gives_a_version_on_trial_more_than_its_share() {
     for seed in 0..60 {
@@ -24,8 +25,8 @@
         while fleet.age() < duration {
             let vm = rng.random_range(0..vms);
             match rng.random_range(0..8) {
-                0 => fleet.set_cut(vm, true),
-                1 => fleet.set_cut(vm, false),
+                0 => fleet.set_partitioned(vm, true),
+                1 => fleet.set_partitioned(vm, false),
                 2 => fleet.kill(vm),
                 3 => fleet.restart(vm),
                 4 => fleet.store_down = rng.random_bool(0.5),
@@ -47,16 +48,17 @@
     }
 }
 
-/// A VM hears nobody: what the others find out would not reach it.
+/// Guards against an isolated VM that keeps sending requests to the new version, though findings of
+/// the others would not reach it.
 #[test]
-fn a_vm_that_hears_nobody_tries_nothing() {
+fn an_isolated_vm_sends_nothing_to_a_version_on_trial() {
     let behaviour = Behaviour::of(NewVersion::Fails(0.5));
     let duration = Duration::from_secs(20);
     let plan = FleetPlan { vms: 4, targets: 6, rate: 200.0, duration, behaviour, seed: 3 };
     let mut fleet = Fleet::start(plan);
     fleet.run_until(Duration::from_millis(1_200));
     assert_eq!(fleet.state(0), RolloutState::Trial);
-    (0..4).for_each(|vm| fleet.set_cut(vm, true));
+    (0..4).for_each(|vm| fleet.set_partitioned(vm, true));
     fleet.run_until(Duration::from_millis(4_000));
     let before = fleet.exposed;
     fleet.run_until(Duration::from_millis(9_000));
--- a/crates/ryetide-core/tests/rollout/faults.rs
+++ b/crates/ryetide-core/tests/rollout/faults.rs
@@ -1,4 +1,4 @@
-//! Every fault at every step of an order, and what operators and callers then see.
+//! Every fault in every state of an order, and what operators and callers see of it.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 };
 
 const DURATION: Duration = Duration::from_secs(16);
-/// Faults last this long.
+/// The duration of a fault.
 const FAULT_SPAN: Duration = Duration::from_millis(2_500);
 
 #[derive(Clone, Copy, Debug)]
@@ -19,26 +19,26 @@
     AllKilled,
     /// One VM is killed for good.
     OneGone,
-    /// The VM that has just taken the step is killed and starts again.
+    /// The VM that has just changed its state is killed and starts again.
     StepperKilled,
-    /// A third of the VMs cannot be heard.
-    Cut,
-    /// A third of the VMs stand still.
+    /// A third of the VMs is partitioned from all others.
+    Partitioned,
+    /// A third of the VMs is frozen.
     Frozen,
-    /// The store is away.
+    /// The store is unavailable.
     StoreDown,
-    /// The store is away and a third of the VMs cannot be heard.
-    StoreDownAndCut,
+    /// The store is unavailable and a third of the VMs is partitioned from all others.
+    StoreDownAndPartitioned,
 }
 
 const FAULTS: [Fault; 7] = [
     Fault::AllKilled,
     Fault::OneGone,
     Fault::StepperKilled,
-    Fault::Cut,
+    Fault::Partitioned,
     Fault::Frozen,
     Fault::StoreDown,
-    Fault::StoreDownAndCut,
+    Fault::StoreDownAndPartitioned,
 ];
 
 fn begin(fleet: &mut Fleet, fault: Fault) {
@@ -46,12 +46,12 @@
     match fault {
         Fault::AllKilled => (0..fleet.vm_count()).for_each(|vm| fleet.kill(vm)),
         Fault::OneGone | Fault::StepperKilled => fleet.kill(0),
-        Fault::Cut => (0..third).for_each(|vm| fleet.set_cut(vm, true)),
+        Fault::Partitioned => (0..third).for_each(|vm| fleet.set_partitioned(vm, true)),
         Fault::Frozen => (0..third).for_each(|vm| fleet.set_frozen(vm, true)),
         Fault::StoreDown => fleet.store_down = true,
-        Fault::StoreDownAndCut => {
+        Fault::StoreDownAndPartitioned => {
             fleet.store_down = true;
-            (0..third).for_each(|vm| fleet.set_cut(vm, true));
+            (0..third).for_each(|vm| fleet.set_partitioned(vm, true));
         }
     }
 }
@@ -62,17 +62,17 @@
         Fault::AllKilled => (0..fleet.vm_count()).for_each(|vm| fleet.restart(vm)),
         Fault::OneGone => {}
         Fault::StepperKilled => fleet.restart(0),
-        Fault::Cut => (0..third).for_each(|vm| fleet.set_cut(vm, false)),
+        Fault::Partitioned => (0..third).for_each(|vm| fleet.set_partitioned(vm, false)),
         Fault::Frozen => (0..third).for_each(|vm| fleet.set_frozen(vm, false)),
         Fault::StoreDown => fleet.store_down = false,
-        Fault::StoreDownAndCut => {
+        Fault::StoreDownAndPartitioned => {
             fleet.store_down = false;
-            (0..third).for_each(|vm| fleet.set_cut(vm, false));
+            (0..third).for_each(|vm| fleet.set_partitioned(vm, false));
         }
     }
 }
 
-fn play(new: NewVersion, step: RolloutState, fault: Fault) -> Fleet {
+fn run(new: NewVersion, step: RolloutState, fault: Fault) -> Fleet {
     let plan = FleetPlan {
         vms: 6,
         targets: 9,
@@ -85,31 +85,30 @@
     let name = format!("{new:?}, {fault:?} at {step:?}");
     while step != RolloutState::Asked && !fleet.steps.iter().any(|(_, to)| *to == step) {
         fleet.step();
-        assert!(fleet.age() < DURATION + FAULT_SPAN, "{name}: the step is never taken");
+        assert!(fleet.age() < DURATION + FAULT_SPAN, "{name}: the state is never reached");
     }
     begin(&mut fleet, fault);
     let until = fleet.age() + FAULT_SPAN;
     fleet.run_until(until);
     end(&mut fleet, fault);
     fleet.run_until(DURATION + Duration::from_secs(6));
-    assert!(fleet.is_ended(), "{name}: {:?}", fleet.words);
-    let ends = fleet.words.iter().filter(|word| **word != RolloutWord::Running).count();
-    assert_eq!(ends, 1, "{name}: told two ends: {:?}", fleet.words);
+    assert!(fleet.is_ended(), "{name}: {:?}", fleet.statuses);
+    let ends = fleet.statuses.iter().filter(|status| **status != RolloutWord::Running).count();
+    assert_eq!(ends, 1, "{name}: more than one result was written: {:?}", fleet.statuses);
     for vm in 0..fleet.vm_count() {
-        let expected = match fleet.word() {
+        let expected = match fleet.status() {
             Some(RolloutWord::Completed) => RolloutState::Completed,
             _ => RolloutState::RolledBack,
         };
         let is_gone = matches!(fault, Fault::OneGone) && vm == 0;
-        assert!(is_gone || fleet.state(vm) == expected, "{name}: VM {vm} is at another end");
+        assert!(is_gone || fleet.state(vm) == expected, "{name}: VM {vm} has another result");
     }
     fleet
 }
 
-/// The steps of an order for a good version. It may be sent back where a fault left no time to judge it, and only where the
-/// fault came before it was found good.
+/// A good version is completed, with exactly one result, whichever fault occurs in whichever state.
 #[test]
-fn an_order_for_a_good_version_ends_once_whatever_happens() {
+fn an_order_for_a_good_version_is_completed_once_whatever_happens() {
     let steps = [
         RolloutState::Asked,
         RolloutState::Trial,
@@ -119,14 +118,14 @@
     ];
     for step in steps {
         for fault in FAULTS {
-            let fleet = play(NewVersion::Good, step, fault);
-            assert_eq!(fleet.word(), Some(RolloutWord::Completed), "{fault:?} at {step:?}");
+            let fleet = run(NewVersion::Good, step, fault);
+            assert_eq!(fleet.status(), Some(RolloutWord::Completed), "{fault:?} at {step:?}");
         }
     }
 }
 
 #[test]
-fn an_order_for_a_bad_version_is_taken_back_whatever_happens() {
+fn an_order_for_a_bad_version_is_rolled_back_whatever_happens() {
     let steps = [
         RolloutState::Asked,
         RolloutState::Trial,
@@ -135,8 +134,8 @@
     ];
     for step in steps {
         for fault in FAULTS {
-            let fleet = play(NewVersion::Fails(0.5), step, fault);
-            assert_eq!(fleet.word(), Some(RolloutWord::RolledBack), "{fault:?} at {step:?}");
+            let fleet = run(NewVersion::Fails(0.5), step, fault);
+            assert_eq!(fleet.status(), Some(RolloutWord::RolledBack), "{fault:?} at {step:?}");
             assert!(
                 fleet.exposed_after_fiftieth < Duration::from_secs(5),
                 "{fault:?} at {step:?}: sent {:?} after the 50th bad answer",
@@ -148,9 +147,10 @@
     }
 }
 
-/// Nothing of ours is at the old targets when the operators are told that these may stop.
+/// Guards against requests that are lost because the old targets stop: none may be in flight there
+/// when the order is reported as completed.
 #[test]
-fn the_old_targets_are_empty_when_they_may_stop() {
+fn no_requests_are_at_the_old_targets_on_completion() {
     for seed in 0..20 {
         let plan = FleetPlan {
             vms: 6,
@@ -162,14 +162,15 @@
         };
         let mut fleet = Fleet::start(plan);
         fleet.run_until(DURATION);
-        assert_eq!(fleet.word(), Some(RolloutWord::Completed), "seed {seed}");
+        assert_eq!(fleet.status(), Some(RolloutWord::Completed), "seed {seed}");
         assert_eq!(fleet.left_at_end, 0, "seed {seed}");
     }
 }
 
-/// A VM that was frozen while the others decided wakes, and neither sends to the version nor writes another end.
+/// Guards against a VM that was frozen while the others rolled back, and that afterwards sends
+/// requests to the new version or writes another result.
 #[test]
-fn who_wakes_late_reverses_nothing() {
+fn a_vm_that_was_frozen_reverses_nothing() {
     let plan = FleetPlan {
         vms: 6,
         targets: 9,
@@ -182,9 +183,9 @@
     fleet.run_until(Duration::from_millis(1_500));
     fleet.set_frozen(0, true);
     fleet.run_until(Duration::from_secs(9));
-    assert_eq!(fleet.word(), Some(RolloutWord::RolledBack));
+    assert_eq!(fleet.status(), Some(RolloutWord::RolledBack));
     let before = fleet.exposed;
     fleet.set_frozen(0, false);
     fleet.run_until(Duration::from_secs(20));
-    assert_eq!((fleet.exposed, fleet.words.len()), (before, 2));
+    assert_eq!((fleet.exposed, fleet.statuses.len()), (before, 2));
 }
--- a/crates/ryetide-core/tests/rollout/fleet.rs
+++ b/crates/ryetide-core/tests/rollout/fleet.rs
@@ -1,4 +1,4 @@
-//! Entry VMs that carry out one order, the operators' row, and what may go wrong between them.
+//! A model of entry VMs that carry out one order, with the operators' row and the faults of both.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,22 +19,22 @@
 use crate::behaviour::{Behaviour, ServedRun};
 
 const STEP: Duration = Duration::from_millis(50);
-const MARK_INTERVAL: Duration = Duration::from_millis(1_000);
-const TRAVEL: Duration = Duration::from_millis(50);
-const HEARD_SPAN: Duration = Duration::from_millis(2_500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
+const MESSAGE_DELAY: Duration = Duration::from_millis(50);
+const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 const ROUTES: usize = 3;
 
 pub fn service() -> ServiceName {
     "drafting".into()
 }
 
-pub fn entry(side: VersionSide, place: usize) -> TargetEntry {
+pub fn entry(side: VersionSide, index: usize) -> TargetEntry {
     let (version, letter) = match side {
         VersionSide::Old => ("v1", 'o'),
         VersionSide::New => ("v2", 'n'),
     };
     TargetEntry {
-        name: format!("{letter}{place}").as_str().into(),
+        name: format!("{letter}{index}").as_str().into(),
         life: Default::default(),
         version: version.into(),
         service: service(),
@@ -50,13 +50,13 @@
     RolloutRule { share: 0.1, slack: 50.0, by_order_only: true }
 }
 
-/// How large the fleet is, and what its service does.
+/// The size of the fleet and the behaviour of its service.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPlan {
     pub vms: usize,
-    /// Targets of each version.
+    /// The number of targets of each version.
     pub targets: usize,
-    /// Requests a second, over all VMs.
+    /// Requests per second, over all VMs.
     pub rate: f64,
     pub duration: Duration,
     pub behaviour: Behaviour,
@@ -66,14 +66,15 @@
 struct ModelVm {
     name: VmName,
     incarnation: u64,
-    desk: RolloutDesk,
+    manager: RolloutDesk,
     alive: bool,
-    /// Cut off from all peers.
-    cut: bool,
+    /// Whether no messages pass between it and its peers.
+    partitioned: bool,
     frozen: bool,
-    heard: BTreeMap<usize, Moment>,
-    told: Moment,
-    /// What it has at old targets: when each ends.
+    /// When the last message of each peer arrived.
+    received: BTreeMap<usize, Moment>,
+    last_sent: Moment,
+    /// The end of each of its requests at old targets.
     at_old: Vec<Moment>,
 }
 
@@ -82,17 +83,17 @@
     vm: usize,
     incarnation: u64,
     entry: TargetEntry,
-    note: RunNote,
+    sample: RunNote,
 }
 
-struct SentMark {
+struct Message {
     at: Moment,
     from: usize,
     incarnation: u64,
-    marks: Vec<RolloutMark>,
+    progress: Vec<RolloutMark>,
 }
 
-/// The fleet.
+/// The modelled fleet.
 pub struct Fleet {
     plan: FleetPlan,
     rng: StdRng,
@@ -101,32 +102,36 @@
     order: RolloutOrder,
     vms: Vec<ModelVm>,
     pub store_down: bool,
-    /// What the operators read, each word as it was written.
-    pub words: Vec<RolloutWord>,
-    noted_at: Option<Moment>,
+    /// Every status that was written to the operators' row, in order.
+    pub statuses: Vec<RolloutWord>,
+    /// When the order was first seen, according to the store.
+    first_seen: Option<Moment>,
+    /// Whether the store holds that the version passed its trial.
     passed: bool,
     answers: Vec<Answer>,
-    sent: Vec<SentMark>,
-    /// Requests that reached the service, and the new version, since the order.
+    messages: Vec<Message>,
+    /// The number of requests since the order.
     pub placed: u64,
+    /// Those of `placed` that went to the new version.
     pub exposed: u64,
-    /// Failing or slow answers of the new version, and when the 50th came.
+    /// The number of failed or slow answers of the new version, and the time of the 50th.
     bad_answers: u32,
     fiftieth: Option<Moment>,
-    /// Requests that reached the new version before it was found good.
+    /// The number of requests to the new version before any VM moved its traffic.
     pub exposed_on_trial: u64,
+    /// The number of all requests in that time.
     pub placed_on_trial: u64,
-    /// The latest moment at which a request reached the new version, after the 50th bad answer.
+    /// The time from the 50th bad answer to the last request to the new version.
     pub exposed_after_fiftieth: Duration,
-    /// Requests at old targets when they were told that they may stop.
+    /// The number of requests in flight at old targets when the order was reported as completed.
     pub left_at_end: usize,
-    /// Steps of the chart that were taken.
+    /// State transitions of all VMs.
     pub steps: Vec<(RolloutState, RolloutState)>,
     new_load: BTreeMap<usize, (Moment, u32)>,
 }
 
 impl Fleet {
-    /// Starts a fleet that serves one version, and gives the order.
+    /// Starts a fleet with an order to move from the old version to the new one.
     pub fn start(plan: FleetPlan) -> Self {
         let now = Moment::from_millis(1_000);
         let order = RolloutOrder {
@@ -142,11 +147,11 @@
             order,
             vms: Vec::new(),
             store_down: false,
-            words: Vec::new(),
-            noted_at: None,
+            statuses: Vec::new(),
+            first_seen: None,
             passed: false,
             answers: Vec::new(),
-            sent: Vec::new(),
+            messages: Vec::new(),
             placed: 0,
             exposed: 0,
             bad_answers: 0,
@@ -159,34 +164,34 @@
             new_load: BTreeMap::new(),
             plan,
         };
-        for place in 0..plan.vms {
-            let vm = fleet.new_vm(place, 1);
+        for index in 0..plan.vms {
+            let vm = fleet.new_vm(index, 1);
             fleet.vms.push(vm);
         }
         fleet
     }
 
-    fn new_vm(&mut self, place: usize, incarnation: u64) -> ModelVm {
-        let name: VmName = format!("e{place}").as_str().into();
-        let mut desk = RolloutDesk::new(name.clone(), rule());
-        desk.take_order(self.now, self.order.clone());
-        desk.take_targets(self.now, &self.entries());
+    fn new_vm(&mut self, index: usize, incarnation: u64) -> ModelVm {
+        let name: VmName = format!("e{index}").as_str().into();
+        let mut manager = RolloutDesk::new(name.clone(), rule());
+        manager.take_order(self.now, self.order.clone());
+        manager.take_targets(self.now, &self.entries());
         ModelVm {
             name,
             incarnation,
-            desk,
+            manager,
             alive: true,
-            cut: false,
+            partitioned: false,
             frozen: false,
-            heard: BTreeMap::new(),
-            told: Moment(0),
+            received: BTreeMap::new(),
+            last_sent: Moment(0),
             at_old: Vec::new(),
         }
     }
 
     fn entries(&self) -> Vec<TargetEntry> {
         let sides = [VersionSide::Old, VersionSide::New].into_iter();
-        sides.flat_map(|side| (0..self.plan.targets).map(move |place| entry(side, place))).collect()
+        sides.flat_map(|side| (0..self.plan.targets).map(move |index| entry(side, index))).collect()
     }
 
     pub fn age(&self) -> Duration {
@@ -194,7 +199,7 @@
     }
 
     pub fn state(&self, vm: usize) -> RolloutState {
-        let rollout = self.vms[vm].desk.rollouts().next();
+        let rollout = self.vms[vm].manager.rollouts().next();
         rollout.map_or(RolloutState::Asked, |rollout| rollout.state())
     }
 
@@ -202,14 +207,14 @@
         self.vms[vm].alive = false;
     }
 
-    /// Starts a VM that was killed; it knows the order and the targets, and nothing else.
+    /// Restarts a VM that was killed. It knows the order and the targets, and nothing else.
     pub fn restart(&mut self, vm: usize) {
         let incarnation = self.vms[vm].incarnation + 1;
         self.vms[vm] = self.new_vm(vm, incarnation);
     }
 
-    pub fn set_cut(&mut self, vm: usize, cut: bool) {
-        self.vms[vm].cut = cut;
+    pub fn set_partitioned(&mut self, vm: usize, partitioned: bool) {
+        self.vms[vm].partitioned = partitioned;
     }
 
     pub fn set_frozen(&mut self, vm: usize, frozen: bool) {
@@ -220,16 +225,16 @@
         self.vms.len()
     }
 
-    /// What the operators have read last.
-    pub fn word(&self) -> Option<RolloutWord> {
-        self.words.last().copied()
+    /// Returns the status in the operators' row, if it was written.
+    pub fn status(&self) -> Option<RolloutWord> {
+        self.statuses.last().copied()
     }
 
     pub fn is_ended(&self) -> bool {
-        self.word().is_some_and(|word| word != RolloutWord::Running)
+        self.status().is_some_and(|status| status != RolloutWord::Running)
     }
 
-    /// Lets time pass until `end` after the order.
+    /// Runs the fleet until `end` after the order.
     pub fn run_until(&mut self, end: Duration) {
         while self.age() < end {
             self.step();
@@ -239,19 +244,20 @@
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         self.take_answers();
-        self.take_marks();
+        self.deliver_messages();
         for vm in 0..self.vms.len() {
             if self.vms[vm].alive && !self.vms[vm].frozen {
                 self.serve(vm);
-                self.look(vm);
+                self.advance(vm);
             }
         }
     }
 
-    fn sight(&self, vm: usize) -> FleetSight {
-        let heard = self.vms[vm].heard.values().filter(|at| self.now.since(**at) < HEARD_SPAN);
+    fn reachability(&self, vm: usize) -> FleetSight {
+        let times = self.vms[vm].received.values();
+        let reachable = times.filter(|at| self.now.since(**at) < PEER_TIMEOUT);
         let vms = self.vms.len();
-        FleetSight { reachable_share: (heard.count() + 1) as f64 / vms as f64, vms }
+        FleetSight { reachable_share: (reachable.count() + 1) as f64 / vms as f64, vms }
     }
 
     fn serve(&mut self, vm: usize) {
@@ -263,34 +269,34 @@
     }
 
     fn place(&mut self, vm: usize) {
-        let sight = self.sight(vm);
+        let reachability = self.reachability(vm);
         let keys: Vec<TargetKey> =
-            (0..self.plan.targets).map(|place| entry(VersionSide::New, place).key()).collect();
-        let desk = &self.vms[vm].desk;
-        let slice = desk.trial_targets(self.now, &service(), &sight, &keys);
-        let of_use = |side| desk.target_use(&entry(side, 0)) == TargetUse::Serving;
+            (0..self.plan.targets).map(|index| entry(VersionSide::New, index).key()).collect();
+        let manager = &self.vms[vm].manager;
+        let slice = manager.trial_targets(self.now, &service(), &reachability, &keys);
+        let is_serving = |side| manager.target_use(&entry(side, 0)) == TargetUse::Serving;
         let side = if !slice.is_empty() {
             VersionSide::New
-        } else if of_use(VersionSide::Old) {
+        } else if is_serving(VersionSide::Old) {
             VersionSide::Old
-        } else if of_use(VersionSide::New) {
+        } else if is_serving(VersionSide::New) {
             VersionSide::New
         } else {
             return;
         };
-        let place = match slice.is_empty() {
+        let index = match slice.is_empty() {
             true => self.rng.random_range(0..self.plan.targets),
             false => {
                 let key = slice[self.rng.random_range(0..slice.len())];
                 keys.iter().position(|it| *it == key).expect("a target")
             }
         };
-        self.send(vm, entry(side, place), side, place);
+        self.send(vm, entry(side, index), side, index);
     }
 
-    fn send(&mut self, vm: usize, target: TargetEntry, side: VersionSide, place: usize) {
+    fn send(&mut self, vm: usize, target: TargetEntry, side: VersionSide, index: usize) {
         let on_trial = self.vms.iter().all(|it| {
-            !it.alive || it.desk.target_use(&entry(VersionSide::New, 0)) != TargetUse::Serving
+            !it.alive || it.manager.target_use(&entry(VersionSide::New, 0)) != TargetUse::Serving
         });
         self.placed += 1;
         self.placed_on_trial += u64::from(on_trial);
@@ -301,10 +307,10 @@
                 self.exposed_after_fiftieth = self.now.since(fiftieth);
             }
         }
-        let loaded = side == VersionSide::New && self.is_loaded(place);
+        let loaded = side == VersionSide::New && self.is_loaded(index);
         let route = self.rng.random_range(0..ROUTES);
         let age = self.now.since(self.ordered_at);
-        let run = ServedRun { side, target: place, route, age, loaded };
+        let run = ServedRun { side, target: index, route, age, loaded };
         let pace = self.plan.behaviour.serve(&mut self.rng, run);
         let end = self.now + pace.unwrap_or(Duration::from_millis(30));
         if side == VersionSide::New && pace.is_none_or(|pace| pace > Duration::from_millis(700)) {
@@ -314,20 +320,21 @@
             }
         }
         let vm_state = &mut self.vms[vm];
-        vm_state.desk.note_placed(self.now, &target);
+        vm_state.manager.note_placed(self.now, &target);
         if side == VersionSide::Old {
             vm_state.at_old.push(end);
         }
         let route = RouteKey(route as u32);
-        let note = RunNote { target: target.key(), route, sent: self.now, pace };
+        let sample = RunNote { target: target.key(), route, sent: self.now, pace };
         let incarnation = vm_state.incarnation;
-        self.answers.push(Answer { at: end, vm, incarnation, entry: target, note });
+        self.answers.push(Answer { at: end, vm, incarnation, entry: target, sample });
     }
 
-    /// Whether a target of the new version gets requests as often as one of the old version does.
-    fn is_loaded(&mut self, place: usize) -> bool {
+    /// Returns whether a target of the new version gets requests at least half as often as each of
+    /// the old version's did.
+    fn is_loaded(&mut self, index: usize) -> bool {
         let now = self.now;
-        let (since, count) = self.new_load.entry(place).or_insert((now, 0));
+        let (since, count) = self.new_load.entry(index).or_insert((now, 0));
         if now.since(*since) >= Duration::from_secs(1) {
             (*since, *count) = (now, 0);
         }
@@ -340,47 +347,52 @@
         let (due, later) = self.answers.drain(..).partition(|answer| answer.at <= now);
         self.answers = later;
         let due: Vec<Answer> = due;
-        for Answer { vm, incarnation, entry, note, .. } in due {
+        for Answer { vm, incarnation, entry, sample, .. } in due {
             let state = &mut self.vms[vm];
             if state.alive && state.incarnation == incarnation {
-                state.desk.note_run(now, &entry, note);
+                state.manager.note_run(now, &entry, sample);
             }
         }
     }
 
-    fn take_marks(&mut self) {
+    fn deliver_messages(&mut self) {
         let now = self.now;
-        let (due, later) = self.sent.drain(..).partition(|sent| sent.at <= now);
-        self.sent = later;
-        let due: Vec<SentMark> = due;
-        for SentMark { from, incarnation, marks, .. } in due {
+        let (due, later) = self.messages.drain(..).partition(|message| message.at <= now);
+        self.messages = later;
+        let due: Vec<Message> = due;
+        for Message { from, incarnation, progress, .. } in due {
             let sender = self.vms[from].name.clone();
             for to in 0..self.vms.len() {
-                let apart = self.vms[from].cut || self.vms[to].cut || to == from;
+                let is_apart = self.vms[from].partitioned || self.vms[to].partitioned || to == from;
                 let state = &mut self.vms[to];
-                // A frozen VM's socket fills up; what comes then is lost.
-                if apart || !state.alive || state.frozen || self.rng.random_bool(0.03) {
+                // The socket buffer of a frozen VM overflows, and further messages are lost.
+                if is_apart || !state.alive || state.frozen || self.rng.random_bool(0.03) {
                     continue;
                 }
-                state.heard.insert(from, now);
-                state.desk.take_marks(now, &sender, Incarnation(incarnation), &marks);
+                state.received.insert(from, now);
+                state.manager.take_marks(now, &sender, Incarnation(incarnation), &progress);
             }
         }
     }
 
-    fn look(&mut self, vm: usize) {
-        let (now, sight) = (self.now, self.sight(vm));
+    fn advance(&mut self, vm: usize) {
+        let (now, reachability) = (self.now, self.reachability(vm));
         let state = &mut self.vms[vm];
         state.at_old.retain(|end| *end > now);
-        let left = u32::try_from(state.at_old.len()).expect("few");
-        state.desk.advance(now, &sight, |_| left);
-        let changes = state.desk.take_changes();
+        let in_flight = u32::try_from(state.at_old.len()).expect("the number fits");
+        state.manager.advance(now, &reachability, |_| in_flight);
+        let changes = state.manager.take_changes();
         self.steps.extend(changes.iter().map(|change| (change.from, change.to)));
-        if !changes.is_empty() || now.since(state.told) >= MARK_INTERVAL {
-            state.told = now;
-            let marks = state.desk.marks(now, true, |_| left);
+        if !changes.is_empty() || now.since(state.last_sent) >= REPORT_INTERVAL {
+            state.last_sent = now;
+            let progress = state.manager.marks(now, true, |_| in_flight);
             let incarnation = state.incarnation;
-            self.sent.push(SentMark { at: now + TRAVEL, from: vm, incarnation, marks });
+            self.messages.push(Message {
+                at: now + MESSAGE_DELAY,
+                from: vm,
+                incarnation,
+                progress,
+            });
         }
         if !self.store_down {
             self.do_duties(vm);
@@ -388,38 +400,39 @@
     }
 
     fn do_duties(&mut self, vm: usize) {
-        let others = self.vms[vm].heard.iter();
-        let heard = others.filter(|(_, at)| self.now.since(**at) < HEARD_SPAN);
-        let heard: Vec<VmName> = heard.map(|(other, _)| self.vms[*other].name.clone()).collect();
-        for duty in self.vms[vm].desk.duties(self.now, &heard) {
-            let age = self.noted_at.map(|at| self.now.since(at));
-            let word = match (duty.task, self.word()) {
-                (_, Some(said)) if said != RolloutWord::Running => said,
-                (RolloutTask::Open, Some(said)) => said,
+        let received = self.vms[vm].received.iter();
+        let reachable = received.filter(|(_, at)| self.now.since(**at) < PEER_TIMEOUT);
+        let others: Vec<VmName> =
+            reachable.map(|(other, _)| self.vms[*other].name.clone()).collect();
+        for duty in self.vms[vm].manager.duties(self.now, &others) {
+            let age = self.first_seen.map(|at| self.now.since(at));
+            let word = match (duty.task, self.status()) {
+                (_, Some(written)) if written != RolloutWord::Running => written,
+                (RolloutTask::Open, Some(written)) => written,
                 (RolloutTask::Open, None) => {
-                    self.noted_at = Some(self.now);
-                    self.say(RolloutWord::Running)
+                    self.first_seen = Some(self.now);
+                    self.write(RolloutWord::Running)
                 }
                 (RolloutTask::Remember, _) => {
                     self.passed = true;
                     RolloutWord::Running
                 }
-                (RolloutTask::End(word), _) => self.say(word),
+                (RolloutTask::End(result), _) => self.write(result),
             };
             let passed = self.passed;
             let report =
                 RolloutReport { service: service(), number: duty.order.number, word, age, passed };
-            self.vms[vm].desk.take_report(self.now, &report);
+            self.vms[vm].manager.take_report(self.now, &report);
         }
     }
 
-    fn say(&mut self, word: RolloutWord) -> RolloutWord {
-        self.words.push(word);
-        if word == RolloutWord::Completed {
+    fn write(&mut self, status: RolloutWord) -> RolloutWord {
+        self.statuses.push(status);
+        if status == RolloutWord::Completed {
             let now = self.now;
             let at_old = self.vms.iter().filter(|vm| vm.alive).flat_map(|vm| &vm.at_old);
             self.left_at_end = at_old.filter(|end| **end > now).count();
         }
-        word
+        status
     }
 }
--- a/crates/ryetide-core/tests/rollout/main.rs
+++ b/crates/ryetide-core/tests/rollout/main.rs
@@ -1,10 +1,10 @@
-//! Orders to bring new versions in: whether a bad version is found, how much of the traffic it gets, and how an order ends
-//! whatever happens to the VMs and the store meanwhile.
+//! Rollout orders: whether a bad version is detected, how much of the traffic it gets, and how an
+//! order ends under faults of the VMs and the store.
 
 mod behaviour;
+mod evaluation;
 mod exposure;
 mod faults;
 mod fleet;
-mod judging;
-mod placing;
+mod placement;
 mod versions;
--- a/crates/ryetide-core/tests/rollout/placing.rs
+++ b/crates/ryetide-core/tests/rollout/placement.rs
@@ -1,4 +1,4 @@
-//! Where one VM's scheduler sends requests while an order is under way.
+//! The placement of requests by one VM's scheduler while an order is in progress.
 
 use std::time::Duration;
 
@@ -43,8 +43,8 @@
     }
 }
 
-/// A VM before four targets of each version, with an order that has just become known.
-fn ordered() -> Scheduler {
+/// Returns a scheduler with four targets of each version and an order that it has just learned of.
+fn ordered_scheduler() -> Scheduler {
     let mut scheduler = Scheduler::new(SchedulerOptions {
         name: "e1".into(),
         data_centre: "hall-a".into(),
@@ -54,14 +54,14 @@
         rollout: fleet::rule(),
         assumed: AssumedPace::default(),
     });
-    // It has read the list of VMs, and is the only one.
+    // It has read the list of VMs and is the only one.
     scheduler.list_peers(Moment(1), &[]);
-    let of = |side| (0..TARGETS).map(move |place| fleet::entry(side, place));
+    let of = |side| (0..TARGETS).map(move |index| fleet::entry(side, index));
     scheduler.set_targets(Moment(1), of(VersionSide::Old).collect());
     let (service, number) = (fleet::service(), OrderNumber(1));
     let order =
         RolloutOrder { service, to: "v2".into(), duration: Duration::from_secs(60), number };
-    scheduler.with_rollouts(at(0), |desk, now| desk.take_order(now, order));
+    scheduler.with_rollouts(at(0), |manager, now| manager.take_order(now, order));
     let all: Vec<TargetEntry> = of(VersionSide::Old).chain(of(VersionSide::New)).collect();
     scheduler.set_targets(at(0), all);
     scheduler
@@ -70,19 +70,19 @@
 fn report(scheduler: &mut Scheduler, now: Moment, word: RolloutWord, passed: bool) {
     let (service, number) = (fleet::service(), OrderNumber(1));
     let report = RolloutReport { service, number, word, age: None, passed };
-    scheduler.with_rollouts(now, |desk, now| desk.take_report(now, &report));
+    scheduler.with_rollouts(now, |manager, now| manager.take_report(now, &report));
 }
 
-/// Takes requests in, one each 10 ms, and returns how many went to each version.
-fn serve(scheduler: &mut Scheduler, from: u64, count: u64, as_repeat: bool) -> (u64, u64) {
+/// Sends a request every 10 ms and returns how many were placed at each version.
+fn serve(scheduler: &mut Scheduler, from: u64, count: u64, as_retry: bool) -> (u64, u64) {
     let (mut old, mut new) = (0, 0);
     for number in from..from + count {
         let now = at(10 * number);
-        let mut asked = work(number, now);
-        if as_repeat {
-            asked.excluded = vec![fleet::entry(VersionSide::Old, 0).key()];
+        let mut request = work(number, now);
+        if as_retry {
+            request.excluded = vec![fleet::entry(VersionSide::Old, 0).key()];
         }
-        scheduler.enter(now, asked);
+        scheduler.enter(now, request);
         for decision in scheduler.take_decisions() {
             let Decision::Place { ticket, target, .. } = decision else { continue };
             let is_new = target.version.as_str() == "v2";
@@ -94,32 +94,32 @@
 }
 
 #[test]
-fn nothing_goes_to_a_version_until_its_order_is_open() {
-    let mut scheduler = ordered();
+fn a_version_gets_nothing_until_its_order_is_open() {
+    let mut scheduler = ordered_scheduler();
     assert_eq!(serve(&mut scheduler, 1, 200, false), (200, 0));
 }
 
-/// The share is kept, and used: without answers nobody would know.
+/// The share is neither exceeded nor left unused, since an evaluation needs answers.
 #[test]
 fn a_version_on_trial_gets_its_share() {
-    let mut scheduler = ordered();
+    let mut scheduler = ordered_scheduler();
     report(&mut scheduler, at(0), RolloutWord::Running, false);
     let (old, new) = serve(&mut scheduler, 1, 1_000, false);
     let permitted = (old + new) / 10 + 25;
     assert!((60..=permitted).contains(&new), "{new} of {}", old + new);
 }
 
-/// A caller whose request has failed once is not tried on again.
+/// Guards against a retried request that fails a second time because it goes to a version on trial.
 #[test]
-fn a_request_that_was_sent_before_does_not_go_to_a_version_on_trial() {
-    let mut scheduler = ordered();
+fn a_retried_request_does_not_go_to_a_version_on_trial() {
+    let mut scheduler = ordered_scheduler();
     report(&mut scheduler, at(0), RolloutWord::Running, false);
     assert_eq!(serve(&mut scheduler, 1, 500, true).1, 0);
 }
 
 #[test]
-fn a_version_that_was_found_good_gets_everything_new() {
-    let mut scheduler = ordered();
+fn a_version_that_passed_its_trial_gets_all_new_requests() {
+    let mut scheduler = ordered_scheduler();
     report(&mut scheduler, at(0), RolloutWord::Running, true);
     assert_eq!(serve(&mut scheduler, 1, 200, false), (0, 200));
     report(&mut scheduler, at(2_000), RolloutWord::Completed, true);
@@ -127,8 +127,8 @@
 }
 
 #[test]
-fn a_version_that_was_taken_back_gets_nothing() {
-    let mut scheduler = ordered();
+fn a_version_that_was_rolled_back_gets_nothing() {
+    let mut scheduler = ordered_scheduler();
     report(&mut scheduler, at(0), RolloutWord::Running, false);
     serve(&mut scheduler, 1, 200, false);
     report(&mut scheduler, at(2_000), RolloutWord::RolledBack, false);
--- a/crates/ryetide-core/tests/rollout/versions.rs
+++ b/crates/ryetide-core/tests/rollout/versions.rs
@@ -1,4 +1,4 @@
-//! Which versions of a service get work, before, beside and after orders.
+//! Which versions of a service get requests before, during and after orders.
 
 use std::time::Duration;
 
@@ -18,18 +18,18 @@
 
 use crate::fleet;
 
-const SIGHT: FleetSight = FleetSight { reachable_share: 1.0, vms: 1 };
+const ALL_REACHABLE: FleetSight = FleetSight { reachable_share: 1.0, vms: 1 };
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
 }
 
-fn of_version(version: &str, place: usize) -> TargetEntry {
-    let name = format!("{version}-{place}");
+fn of_version(version: &str, index: usize) -> TargetEntry {
+    let name = format!("{version}-{index}");
     TargetEntry {
         name: name.as_str().into(),
         version: version.into(),
-        ..fleet::entry(VersionSide::Old, place)
+        ..fleet::entry(VersionSide::Old, index)
     }
 }
 
@@ -48,124 +48,128 @@
     }
 }
 
-fn desk(rule: RolloutRule) -> RolloutDesk {
+fn manager(rule: RolloutRule) -> RolloutDesk {
     RolloutDesk::new("e1".into(), rule)
 }
 
-fn state(desk: &RolloutDesk) -> RolloutState {
-    desk.rollouts().next().expect("an order").state()
+fn state(manager: &RolloutDesk) -> RolloutState {
+    manager.rollouts().next().expect("there is an order").state()
 }
 
-/// The new targets are listed before the VM hears of the order. They get nothing until it does.
+/// New targets may be listed before the VM learns of their order. They get no requests until it
+/// does.
 #[test]
 fn a_version_that_appears_beside_another_waits_for_its_order() {
-    let mut desk = desk(fleet::rule());
-    desk.take_targets(at(1), &[of_version("v1", 0)]);
-    desk.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
-    assert_eq!(desk.target_use(&of_version("v2", 0)), TargetUse::Closed);
-    desk.take_order(at(3), order("v2", 1));
-    assert_eq!(desk.target_use(&of_version("v2", 0)), TargetUse::Closed);
-    desk.take_report(at(4), &report(1, RolloutWord::Running));
-    assert_eq!(desk.target_use(&of_version("v2", 0)), TargetUse::Trial);
-    assert_eq!(desk.target_use(&of_version("v1", 0)), TargetUse::Serving);
-}
-
-/// Where versions do not come by orders, one that appears is used as it always was.
+    let mut manager = manager(fleet::rule());
+    manager.take_targets(at(1), &[of_version("v1", 0)]);
+    manager.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
+    assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Closed);
+    manager.take_order(at(3), order("v2", 1));
+    assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Closed);
+    manager.take_report(at(4), &report(1, RolloutWord::Running));
+    assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Trial);
+    assert_eq!(manager.target_use(&of_version("v1", 0)), TargetUse::Serving);
+}
+
+/// With the default rule a version that appears beside another is used at once.
 #[test]
 fn without_orders_all_versions_are_used() {
-    let mut desk = desk(RolloutRule::default());
-    desk.take_targets(at(1), &[of_version("v1", 0)]);
-    desk.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
-    assert_eq!(desk.target_use(&of_version("v2", 0)), TargetUse::Serving);
+    let mut manager = manager(RolloutRule::default());
+    manager.take_targets(at(1), &[of_version("v1", 0)]);
+    manager.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
+    assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Serving);
 }
 
-/// Nobody is left but a version that no order names: callers are served by what there is.
+/// Guards against a service without any usable target: its only version is used, though no order
+/// names it.
 #[test]
-fn the_only_version_that_is_left_is_used() {
-    let mut desk = desk(fleet::rule());
-    desk.take_targets(at(1), &[of_version("v1", 0)]);
-    desk.take_targets(at(2), &[of_version("v2", 0)]);
-    assert_eq!(desk.target_use(&of_version("v2", 0)), TargetUse::Serving);
+fn the_only_version_is_used_without_an_order() {
+    let mut manager = manager(fleet::rule());
+    manager.take_targets(at(1), &[of_version("v1", 0)]);
+    manager.take_targets(at(2), &[of_version("v2", 0)]);
+    assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Serving);
 }
 
 #[test]
 fn an_order_for_the_version_in_force_keeps_it_in_force() {
-    let mut desk = desk(fleet::rule());
-    desk.take_targets(at(1), &[of_version("v1", 0)]);
-    desk.take_order(at(2), order("v1", 1));
-    assert_eq!(desk.target_use(&of_version("v1", 0)), TargetUse::Serving);
-    desk.advance(at(1_500), &SIGHT, |_| 0);
-    assert_eq!(state(&desk), RolloutState::Emptied, "and it is soon done");
+    let mut manager = manager(fleet::rule());
+    manager.take_targets(at(1), &[of_version("v1", 0)]);
+    manager.take_order(at(2), order("v1", 1));
+    assert_eq!(manager.target_use(&of_version("v1", 0)), TargetUse::Serving);
+    manager.advance(at(1_500), &ALL_REACHABLE, |_| 0);
+    assert_eq!(state(&manager), RolloutState::Emptied, "no trial is needed");
 }
 
 #[test]
-fn a_completed_version_is_the_one_in_force() {
-    let mut desk = desk(fleet::rule());
-    desk.take_order(at(1), order("v2", 1));
-    desk.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
-    desk.take_report(at(3), &report(1, RolloutWord::Completed));
-    assert_eq!(desk.target_use(&of_version("v2", 0)), TargetUse::Serving);
-    assert_eq!(desk.target_use(&of_version("v1", 0)), TargetUse::Closed);
+fn a_completed_version_replaces_the_others() {
+    let mut manager = manager(fleet::rule());
+    manager.take_order(at(1), order("v2", 1));
+    manager.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
+    manager.take_report(at(3), &report(1, RolloutWord::Completed));
+    assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Serving);
+    assert_eq!(manager.target_use(&of_version("v1", 0)), TargetUse::Closed);
 }
 
 #[test]
-fn a_version_that_was_taken_back_gets_nothing_more() {
-    let mut desk = desk(fleet::rule());
-    desk.take_order(at(1), order("v2", 1));
-    desk.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
-    desk.take_report(at(3), &report(1, RolloutWord::RolledBack));
-    assert_eq!(desk.target_use(&of_version("v2", 0)), TargetUse::Closed);
-    assert_eq!(desk.target_use(&of_version("v1", 0)), TargetUse::Serving);
+fn a_version_that_was_rolled_back_gets_nothing_more() {
+    let mut manager = manager(fleet::rule());
+    manager.take_order(at(1), order("v2", 1));
+    manager.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
+    manager.take_report(at(3), &report(1, RolloutWord::RolledBack));
+    assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Closed);
+    assert_eq!(manager.target_use(&of_version("v1", 0)), TargetUse::Serving);
 }
 
-/// An order comes while another runs. The earlier one's version is neither in force nor on trial any more.
+/// An order arrives while another is in progress. The version of the earlier order gets no requests
+/// any more, and reports of that order are ignored.
 #[test]
-fn a_later_order_takes_the_place_of_an_earlier_one() {
-    let mut desk = desk(fleet::rule());
+fn a_later_order_replaces_an_earlier_one() {
+    let mut manager = manager(fleet::rule());
     let all = [of_version("v1", 0), of_version("v2", 0), of_version("v3", 0)];
-    desk.take_targets(at(1), &all[..1]);
-    desk.take_order(at(2), order("v2", 5));
-    desk.take_targets(at(3), &all[..2]);
-    desk.take_report(at(4), &report(5, RolloutWord::Running));
-    desk.take_order(at(5), order("v3", 9));
-    desk.take_targets(at(6), &all);
-    desk.take_report(at(7), &report(5, RolloutWord::Completed));
-    desk.take_report(at(8), &report(9, RolloutWord::Running));
-    desk.take_order(at(9), order("v2", 5));
-    let uses: Vec<TargetUse> = all.iter().map(|entry| desk.target_use(entry)).collect();
+    manager.take_targets(at(1), &all[..1]);
+    manager.take_order(at(2), order("v2", 5));
+    manager.take_targets(at(3), &all[..2]);
+    manager.take_report(at(4), &report(5, RolloutWord::Running));
+    manager.take_order(at(5), order("v3", 9));
+    manager.take_targets(at(6), &all);
+    manager.take_report(at(7), &report(5, RolloutWord::Completed));
+    manager.take_report(at(8), &report(9, RolloutWord::Running));
+    manager.take_order(at(9), order("v2", 5));
+    let uses: Vec<TargetUse> = all.iter().map(|entry| manager.target_use(entry)).collect();
     assert_eq!(uses, [TargetUse::Serving, TargetUse::Closed, TargetUse::Trial]);
 }
 
-/// The version that an order names never gets a target. The order is taken back when its time for that is over.
+/// Guards against an order that never ends because its version has no targets: it fails when the
+/// time for the trial is over.
 #[test]
-fn an_order_for_a_version_without_targets_is_taken_back() {
-    let mut desk = desk(fleet::rule());
-    desk.take_targets(at(1), &[of_version("v1", 0)]);
-    desk.take_order(at(2), order("v2", 1));
-    desk.take_report(at(3), &report(1, RolloutWord::Running));
+fn an_order_for_a_version_without_targets_fails() {
+    let mut manager = manager(fleet::rule());
+    manager.take_targets(at(1), &[of_version("v1", 0)]);
+    manager.take_order(at(2), order("v2", 1));
+    manager.take_report(at(3), &report(1, RolloutWord::Running));
     for tenth in 0..160 {
-        desk.advance(at(100 * tenth), &SIGHT, |_| 0);
+        manager.advance(at(100 * tenth), &ALL_REACHABLE, |_| 0);
     }
-    assert_eq!(state(&desk), RolloutState::Condemned);
-    assert_eq!(desk.target_use(&of_version("v1", 0)), TargetUse::Serving);
+    assert_eq!(state(&manager), RolloutState::Condemned);
+    assert_eq!(manager.target_use(&of_version("v1", 0)), TargetUse::Serving);
 }
 
 #[test]
-fn an_order_for_a_service_that_nobody_knows_does_no_harm() {
-    let mut desk = desk(fleet::rule());
-    desk.take_order(at(1), RolloutOrder { service: "nobody".into(), ..order("v2", 1) });
-    desk.advance(at(2), &SIGHT, |_| 0);
-    desk.take_targets(at(3), &[of_version("v1", 0)]);
-    assert_eq!(desk.target_use(&of_version("v1", 0)), TargetUse::Serving);
+fn an_order_for_an_unknown_service_does_no_harm() {
+    let mut manager = manager(fleet::rule());
+    manager.take_order(at(1), RolloutOrder { service: "nobody".into(), ..order("v2", 1) });
+    manager.advance(at(2), &ALL_REACHABLE, |_| 0);
+    manager.take_targets(at(3), &[of_version("v1", 0)]);
+    assert_eq!(manager.target_use(&of_version("v1", 0)), TargetUse::Serving);
 }
 
-/// A peer tells that an order has ended of which the row was not read here.
+/// A peer reports the end of an order before this VM has read the row.
 #[test]
-fn the_end_that_a_peer_tells_is_taken() {
-    let mut desk = desk(fleet::rule());
-    desk.take_order(at(1), order("v2", 1));
-    desk.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
-    let mark = RolloutMark {
+fn the_result_that_a_peer_reports_is_adopted() {
+    let mut manager = manager(fleet::rule());
+    manager.take_order(at(1), order("v2", 1));
+    manager.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
+    let progress = RolloutMark {
         service: ServiceKey::of(&fleet::service()),
         number: OrderNumber(1),
         age_ms: 4_000,
@@ -174,55 +178,59 @@
         pass_stored: false,
         tallies: None,
     };
-    desk.take_marks(at(3), &"e2".into(), Incarnation(1), &[mark]);
-    assert_eq!(state(&desk), RolloutState::Completed);
-    assert_eq!(desk.target_use(&of_version("v2", 0)), TargetUse::Serving);
+    manager.take_marks(at(3), &"e2".into(), Incarnation(1), &[progress]);
+    assert_eq!(state(&manager), RolloutState::Completed);
+    assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Serving);
 }
 
-/// The number of an order in this era of the operators' table.
+/// Returns the number of an order in an era of the operators' table.
 fn in_era(era: u64, number: u64) -> u64 {
     EraVersion { era, number }.joined()
 }
 
-/// Returns a desk with an order of the first era that was completed.
+/// Returns a manager with a completed order of the first era.
 fn with_completed() -> RolloutDesk {
-    let mut desk = desk(fleet::rule());
-    desk.take_targets(at(1), &[of_version("v1", 0), of_version("v2", 0)]);
-    desk.take_order(at(2), order("v2", in_era(1, 60)));
-    desk.take_report(at(3), &report(in_era(1, 60), RolloutWord::Completed));
-    assert_eq!(state(&desk), RolloutState::Completed);
-    desk
+    let mut manager = manager(fleet::rule());
+    manager.take_targets(at(1), &[of_version("v1", 0), of_version("v2", 0)]);
+    manager.take_order(at(2), order("v2", in_era(1, 60)));
+    manager.take_report(at(3), &report(in_era(1, 60), RolloutWord::Completed));
+    assert_eq!(state(&manager), RolloutState::Completed);
+    manager
 }
 
-/// Guards against a decision that is reversed because the operators' table came back from a copy: the order stands there
-/// again under another number, and is no other order. What was said of it is said again.
+/// Guards against a result that is reversed because the operators' table was restored from a
+/// backup. The order has another number there but is the same order, and its status is written
+/// again.
 #[test]
-fn an_order_that_stands_again_in_a_copy_goes_on() {
+fn an_order_in_a_restored_table_keeps_its_result() {
     for number in [in_era(2, 60), in_era(2, 3)] {
-        let mut desk = with_completed();
-        assert!(desk.duties(at(10), &[]).is_empty());
-        desk.take_order(at(11), order("v2", number));
-        assert_eq!(state(&desk), RolloutState::Completed);
+        let mut manager = with_completed();
+        assert!(manager.duties(at(10), &[]).is_empty());
+        manager.take_order(at(11), order("v2", number));
+        assert_eq!(state(&manager), RolloutState::Completed);
         let tasks: Vec<RolloutTask> =
-            desk.duties(at(12), &[]).into_iter().map(|duty| duty.task).collect();
+            manager.duties(at(12), &[]).into_iter().map(|duty| duty.task).collect();
         assert_eq!(tasks, [RolloutTask::End(RolloutWord::Completed)]);
-        desk.take_report(at(13), &report(number, RolloutWord::Completed));
-        assert!(desk.duties(at(14), &[]).is_empty(), "it is said once");
+        manager.take_report(at(13), &report(number, RolloutWord::Completed));
+        assert!(manager.duties(at(14), &[]).is_empty(), "the status is written once");
     }
 }
 
-/// Guards against an order that is brought back by a copy which lacks the later one; that is written again.
+/// Guards against an earlier order that takes effect again because the operators' table was
+/// restored from a backup without the later order. The later order is written again afterwards.
 #[test]
-fn a_copy_that_lacks_an_order_brings_no_earlier_one_back() {
-    let mut desk = with_completed();
-    desk.take_order(at(20), order("v1", in_era(1, 80)));
-    desk.take_report(at(21), &report(in_era(1, 80), RolloutWord::Running));
-    assert_eq!(state(&desk), RolloutState::Trial);
-    desk.take_order(at(30), order("v2", in_era(2, 60)));
-    let to = |desk: &RolloutDesk| desk.rollouts().next().expect("an order").order().to.clone();
-    assert_eq!((to(&desk).as_str(), state(&desk)), ("v1", RolloutState::Trial));
-    desk.take_order(at(31), order("v1", in_era(2, 70)));
-    assert_eq!(state(&desk), RolloutState::Trial, "the one in force goes on");
-    desk.take_order(at(32), order("v2", in_era(2, 71)));
-    assert_eq!(to(&desk).as_str(), "v2", "a new one");
+fn a_restored_table_without_the_latest_order_does_not_revive_an_earlier_one() {
+    let mut manager = with_completed();
+    manager.take_order(at(20), order("v1", in_era(1, 80)));
+    manager.take_report(at(21), &report(in_era(1, 80), RolloutWord::Running));
+    assert_eq!(state(&manager), RolloutState::Trial);
+    manager.take_order(at(30), order("v2", in_era(2, 60)));
+    let to = |manager: &RolloutDesk| {
+        manager.rollouts().next().expect("there is an order").order().to.clone()
+    };
+    assert_eq!((to(&manager).as_str(), state(&manager)), ("v1", RolloutState::Trial));
+    manager.take_order(at(31), order("v1", in_era(2, 70)));
+    assert_eq!(state(&manager), RolloutState::Trial, "the order in progress continues");
+    manager.take_order(at(32), order("v2", in_era(2, 71)));
+    assert_eq!(to(&manager).as_str(), "v2", "a new order");
 }
