--- a/crates/ryetide-core/src/crash_ledger.rs
+++ b/crates/ryetide-core/src/crash_ledger.rs
@@ -52,7 +52,7 @@
 const RUNS_LIMIT: usize = 8_192;
 /// The number of quarantined requests; the one whose last attempt is the oldest is dropped.
 const QUARANTINES_LIMIT: usize = 64;
-/// The number of reports of each kind in one digest: a datagram of some 20 KB.
+/// The number of reports of each kind in one digest: a datagram of about 20 KB.
 const REPORTS_LIMIT: usize = 512;
 
 /// A run that ended when its target crashed.
@@ -120,7 +120,7 @@
     Quarantined(Duration),
 }
 
-/// The begin or end of a quarantine at this VM, for logs.
+/// The start or end of a quarantine at this VM, for logs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum QuarantineNews {
     /// This VM has found the request to be the cause of crashes.
@@ -333,7 +333,7 @@
         });
     }
 
-    /// Returns the begins and ends of quarantines since the last call.
+    /// Returns the quarantines that began or ended since the last call.
     pub fn take_news(&mut self) -> Vec<QuarantineNews> {
         std::mem::take(&mut self.changes)
     }
@@ -541,8 +541,8 @@
     counts
 }
 
-/// Returns a crash of the request `print` with the highest number of crashes among the other
-/// requests that ended in it.
+/// Returns what a crash says about a request: how long it had run there, and the highest number of
+/// crashes among the other requests that ended in it.
 fn shared_crash(
     crash: &CrashRecord,
     print: RequestPrint,
--- a/crates/ryetide-core/src/entry_standing.rs
+++ b/crates/ryetide-core/src/entry_standing.rs
@@ -46,13 +46,13 @@
         print: RequestPrint,
         effects: &mut EffectBuffer,
     ) {
-        let standing = if self.is_draining() || !self.crashes.is_suspect(print) {
+        let status = if self.is_draining() || !self.crashes.is_suspect(print) {
             RequestStanding::Clear
         } else {
             let targets = self.target_count(&request);
             self.crashes.standing(now, print, targets)
         };
-        match standing {
+        match status {
             RequestStanding::Clear => self.arrive(now, request, print, effects),
             RequestStanding::Unsettled(until) => {
                 let until = until.min(now + request.deadline);
--- a/crates/ryetide-core/src/request_print.rs
+++ b/crates/ryetide-core/src/request_print.rs
@@ -18,10 +18,11 @@
 /// ```
 /// use ryetide_core::request_print::{RequestContent, RequestPrint};
 ///
-/// let content = RequestContent { caller: None, method: "GET", host: "desk", path: "/a", body: b""
-/// }; let print = RequestPrint::of(&content);
-/// assert_eq!(print.to_string().parse::<RequestPrint>().unwrap(), print); assert_ne!(print,
-/// RequestPrint::of(&RequestContent { path: "/b", ..content }));
+/// let (method, host, path) = ("GET", "desk", "/a");
+/// let content = RequestContent { caller: None, method, host, path, body: b"" };
+/// let fingerprint = RequestPrint::of(&content);
+/// assert_eq!(fingerprint.to_string().parse::<RequestPrint>().unwrap(), fingerprint);
+/// assert_ne!(fingerprint, RequestPrint::of(&RequestContent { path: "/b", ..content }));
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(transparent)]
--- a/crates/ryetide-core/tests/rollout/evaluation.rs
+++ b/crates/ryetide-core/tests/rollout/judging.rs
@@ -91,7 +91,7 @@
 /// requests of the trial load none of its targets fully, so that the failures begin once all
 /// traffic moves.
 #[test]
-fn a_version_that_fails_under_load_gets_no_more_than_is_permitted() {
+fn a_version_that_fails_when_full_gets_no_more_than_is_permitted() {
     let mut fleet = Fleet::start(plan(Behaviour::of(NewVersion::FailsLoaded(0.5)), 179));
     fleet.run_until(Duration::from_secs(14));
     let permitted = fleet.placed / 10 + 50;
--- a/crates/ryetide-core/tests/rollout/main.rs
+++ b/crates/ryetide-core/tests/rollout/main.rs
@@ -2,9 +2,9 @@
 //! order ends under faults of the VMs and the store.
 
 mod behaviour;
-mod evaluation;
 mod exposure;
 mod faults;
 mod fleet;
+mod judging;
 mod placement;
 mod versions;
