--- a/crates/ryetide-core/src/arbiter.rs
+++ b/crates/ryetide-core/src/arbiter.rs
@@ -36,7 +36,7 @@
 /// The most prompt work at an engine ahead of a new grant, for all but the most urgent tier.
 pub(crate) const BACKLOG_LIMIT: Duration = Duration::from_millis(100);
 /// The time that a request is taken to need when it waits for a limit and no speed is known.
-const LEAST_WORK: Duration = Duration::from_millis(150);
+const MIN_LIMITED_WORK: Duration = Duration::from_millis(150);
 /// The most requests that may wait at one arbiter; beyond it the last in order is shed.
 const WAITING_LIMIT: usize = 8_192;
 
@@ -174,7 +174,7 @@
             return;
         }
         self.shed_overflow(now, rng, verdicts);
-        self.pump(now, verdicts);
+        self.grant_waiting(now, verdicts);
         if self.waiting.contains_key(&key) {
             verdicts.push(ArbiterVerdict { key, kind: VerdictKind::Queued });
         }
@@ -186,7 +186,7 @@
         let tier = profile.tier;
         let limit = self.tiers.get(usize::from(tier.0)).ok_or(RefuseReason::ServiceGone)?;
         let budget = limit.wait.saturating_sub(waited);
-        if self.was_passed_over(now.before(waited), tier) {
+        if self.is_below_shed_request(now.before(waited), tier) {
             return Err(RefuseReason::ShedBelow);
         }
         if !self.has_usable_target() {
@@ -194,7 +194,8 @@
         }
         // Held in line until then, its caller would be told the same at its end.
         let latest = deadline.min(now + budget);
-        if self.held_until(now).is_some_and(|until| until >= latest) || self.is_elsewhere() {
+        if self.back_off_end(now).is_some_and(|until| until >= latest) || self.has_no_limit_share()
+        {
             return Err(RefuseReason::HeldOff);
         }
         let need = self.tokens_needed(&profile);
@@ -211,8 +212,8 @@
             self.wait_behind(now, tier, self.queue.work_ahead_of(tier, profile.organisation));
         // How long limits take is known from the limits alone. Granted at the end of its time, a request would use up what
         // the target takes and never be sent.
-        let is_limited = self.limited_wait(now, tier).is_some();
-        let work = if is_limited { work.max(LEAST_WORK) } else { work };
+        let is_limited = self.rate_limited_wait(now, tier).is_some();
+        let work = if is_limited { work.max(MIN_LIMITED_WORK) } else { work };
         if (speed_known || is_limited) && (wait > budget || wait + work > left) {
             let first_in_line = self.queue.work_ahead_of(tier, profile.organisation).is_zero();
             let unreachable = first_in_line && wait + work > left && wait <= budget;
@@ -239,7 +240,7 @@
 
     /// Returns whether a request of a higher tier was shed here after one of `tier` arrived, which
     /// may have waited at another scope meanwhile: served now, it would have gone before its better.
-    fn was_passed_over(&self, arrived: Moment, tier: TierRank) -> bool {
+    fn is_below_shed_request(&self, arrived: Moment, tier: TierRank) -> bool {
         self.last_shed.range(..tier).any(|(_, shed)| *shed > arrived)
     }
 
@@ -254,7 +255,7 @@
             let Some((key, _)) = self.queue.last() else {
                 return;
             };
-            self.forget_waiting(&key);
+            self.remove_waiting(&key);
             self.refuse_one(now, key, RefuseReason::Shed, rng, verdicts);
         }
     }
@@ -273,7 +274,7 @@
         if reason == RefuseReason::Shed && self.switches.shed_below_first {
             self.last_shed.insert(tier, now);
             for below in self.queue.below(tier) {
-                self.forget_waiting(&below);
+                self.remove_waiting(&below);
                 self.refuse_one(now, below, RefuseReason::ShedBelow, rng, verdicts);
             }
         }
@@ -292,7 +293,7 @@
         let work = self.held.mean_remaining(now) / slots.max(1);
         let mut retry = self.promise.next(now, backlog, work, rng);
         if reason == RefuseReason::HeldOff {
-            let held = self.held_until(now).map_or(Duration::ZERO, |until| until.since(now));
+            let held = self.back_off_end(now).map_or(Duration::ZERO, |until| until.since(now));
             retry = retry.max(held);
         }
         verdicts.push(ArbiterVerdict { key, kind: VerdictKind::Refuse(reason, retry) });
@@ -312,34 +313,34 @@
     }
 
     /// Whether all targets have named limits of which another arbiter has all.
-    fn is_elsewhere(&self) -> bool {
+    fn has_no_limit_share(&self) -> bool {
         self.usable().all(|target| *target.limit() == TargetLimit::Elsewhere)
     }
 
     /// The time until those that wait in `tier` and before it are granted, where all targets have named limits.
-    fn limited_wait(&self, now: Moment, tier: TierRank) -> Option<Duration> {
+    fn rate_limited_wait(&self, now: Moment, tier: TierRank) -> Option<Duration> {
         let is_limited = self.usable().all(|target| *target.limit() != TargetLimit::None);
         if !is_limited || !self.has_usable_target() {
             return None;
         }
         let ahead = self.waiting.values().filter(|ask| ask.profile.tier <= tier).count();
-        let first = self.held_until(now).map_or(Duration::ZERO, |until| until.since(now));
+        let first = self.back_off_end(now).map_or(Duration::ZERO, |until| until.since(now));
         Some(first + limit_part::time_for(ahead, self.usable().map(TargetModel::limit)))
     }
 
     /// Returns when the first of the targets wants work again, where all that stay want none.
-    fn held_until(&self, now: Moment) -> Option<Moment> {
+    fn back_off_end(&self, now: Moment) -> Option<Moment> {
         let held = self.usable().map(|target| Some(target.held_until(now)).filter(|at| *at > now));
         held.collect::<Option<Vec<Moment>>>()?.into_iter().min()
     }
 
     /// Takes an ask back: its caller has gone, or it asks elsewhere.
     pub fn withdraw(&mut self, now: Moment, key: &AskKey, verdicts: &mut Vec<ArbiterVerdict>) {
-        self.forget_waiting(key);
+        self.remove_waiting(key);
         if let Some(slot) = self.held.take(key) {
-            self.return_slot(now, &slot);
+            self.free_slot(now, &slot);
         }
-        self.pump(now, verdicts);
+        self.grant_waiting(now, verdicts);
     }
 
     /// Takes a slot back and learns from what was observed.
@@ -355,7 +356,7 @@
         let Some(slot) = self.held.take(&key) else {
             return;
         };
-        self.return_slot(now, &slot);
+        self.free_slot(now, &slot);
         if let Some(target) = self.targets.get_mut(&slot.target) {
             let name = target.rule().name.clone();
             match message.outcome {
@@ -384,11 +385,11 @@
                 ReleaseOutcome::Unused => {}
             }
         }
-        self.pump(now, verdicts);
+        self.grant_waiting(now, verdicts);
     }
 
     /// Notes a slot that is in use although this arbiter did not grant it.
-    pub fn note_holding(
+    pub fn record_held_slot(
         &mut self,
         now: Moment,
         key: AskKey,
@@ -399,13 +400,13 @@
         if self.held.contains(&key) || !self.targets.contains_key(&target) {
             return;
         }
-        self.forget_waiting(&key);
+        self.remove_waiting(&key);
         let started = now.before(running);
         self.hold(now, started, key, target, profile);
     }
 
     /// Takes a target's load report.
-    pub fn note_report(
+    pub fn record_report(
         &mut self,
         now: Moment,
         target: TargetKey,
@@ -435,25 +436,25 @@
     }
 
     /// Forgets everything that a VM asked for or held: it died, or started anew.
-    pub fn forget_vm(&mut self, now: Moment, vm: &VmName, verdicts: &mut Vec<ArbiterVerdict>) {
+    pub fn remove_vm(&mut self, now: Moment, vm: &VmName, verdicts: &mut Vec<ArbiterVerdict>) {
         let waiting: Vec<AskKey> =
             self.waiting.keys().filter(|key| key.vm == *vm).cloned().collect();
         for key in waiting {
-            self.forget_waiting(&key);
+            self.remove_waiting(&key);
         }
         for key in self.held.of_vm(vm) {
             if let Some(slot) = self.held.take(&key) {
-                self.return_slot(now, &slot);
+                self.free_slot(now, &slot);
             }
         }
-        self.pump(now, verdicts);
+        self.grant_waiting(now, verdicts);
     }
 
     /// Returns every waiting request and empties the line, for a new arbiter to take.
-    pub fn dissolve(&mut self) -> Vec<AskKey> {
+    pub fn drain_waiting(&mut self) -> Vec<AskKey> {
         let keys: Vec<AskKey> = self.waiting.keys().cloned().collect();
         for key in &keys {
-            self.forget_waiting(key);
+            self.remove_waiting(key);
         }
         keys
     }
@@ -461,17 +462,17 @@
     /// Does what has fallen due: sheds requests that can no longer be served in time, takes back
     /// orphaned slots, and grants what can be granted.
     pub fn advance(&mut self, now: Moment, rng: &mut impl Rng, verdicts: &mut Vec<ArbiterVerdict>) {
-        self.pump(now, verdicts);
+        self.grant_waiting(now, verdicts);
         while let Some((latest_start, key)) = self.by_latest_start.first().cloned() {
             if latest_start >= now {
                 break;
             }
             let tier = self.waiting.get(&key).map_or(TierRank(0), |ask| ask.profile.tier);
-            self.forget_waiting(&key);
+            self.remove_waiting(&key);
             self.refuse(now, key, (RefuseReason::Shed, tier), rng, verdicts);
         }
-        self.take_back_orphans(now);
-        self.pump(now, verdicts);
+        self.reclaim_orphans(now);
+        self.grant_waiting(now, verdicts);
     }
 
     /// Returns when [`ScopeArbiter::advance`] must be called next.
@@ -506,7 +507,7 @@
     }
 
     fn wait_behind(&self, now: Moment, tier: TierRank, ahead: Duration) -> Duration {
-        if let Some(wait) = self.limited_wait(now, tier) {
+        if let Some(wait) = self.rate_limited_wait(now, tier) {
             return wait;
         }
         let fill = self.fill_of(tier);
@@ -528,19 +529,19 @@
         self.tiers.get(usize::from(tier.0)).map_or(1.0, |limit| limit.fill)
     }
 
-    fn return_slot(&mut self, now: Moment, slot: &HeldSlot) {
+    fn free_slot(&mut self, now: Moment, slot: &HeldSlot) {
         if let Some(target) = self.targets.get_mut(&slot.target) {
             target.release(now, slot.tokens);
         }
     }
 
-    fn take_back_orphans(&mut self, now: Moment) {
+    fn reclaim_orphans(&mut self, now: Moment) {
         for slot in self.held.take_orphans(now) {
-            self.return_slot(now, &slot);
+            self.free_slot(now, &slot);
         }
     }
 
-    fn forget_waiting(&mut self, key: &AskKey) {
+    fn remove_waiting(&mut self, key: &AskKey) {
         let Some(ask) = self.waiting.remove(key) else {
             return;
         };
--- a/crates/ryetide-core/src/arbiter_placing.rs
+++ b/crates/ryetide-core/src/arbiter_placing.rs
@@ -20,7 +20,7 @@
     ///
     /// Within that tier a request may pass another that no free target would serve in time. A lower
     /// tier passes nobody: a request that would fit must not take the slot its better waits for.
-    pub(crate) fn pump(&mut self, now: Moment, verdicts: &mut Vec<ArbiterVerdict>) {
+    pub(crate) fn grant_waiting(&mut self, now: Moment, verdicts: &mut Vec<ArbiterVerdict>) {
         if now < self.grant_from {
             return;
         }
--- a/crates/ryetide-core/src/entry.rs
+++ b/crates/ryetide-core/src/entry.rs
@@ -1,12 +1,13 @@
-//! The decision core of one entry VM.
+//! The decision core of one entry VM: a deterministic state machine without I/O.
 //!
-//! [`EntryCore::step`] takes the present moment and one event, and pushes effects. It owns no
-//! sockets, clocks, threads or logs, and its randomness is seeded, so the same events give the same
-//! effects: in the daemon, in scripts, in the fault matrix and in fuzzers.
+//! [`EntryCore::step`] takes the current time and one event, and pushes effects. It owns no
+//! sockets, clocks, threads or logs, and its random number generator is seeded, so the same events
+//! always produce the same effects: in the daemon, in scripts, in the fault matrix and in fuzzers.
 //!
-//! The decisions live in modules of their own; the files beside this one join them:
-//! `entry_admission` takes requests in, `entry_slot` asks for slots, `entry_dispatch` sends requests
-//! and puts answers together, `entry_peer` meets the other entry VMs.
+//! The rest of `EntryCore` is implemented in the `entry_*` modules: `entry_admission` checks
+//! requests and claims their keys, `entry_slot` asks arbiters for slots, `entry_dispatch` sends
+//! requests to targets and reassembles their answers, and `entry_peer` exchanges messages with the
+//! other entry VMs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -37,30 +38,30 @@
     verdict::ArbiterVerdict,
 };
 
-/// How often the core looks for what is due when nothing nearer is.
+/// The longest time between two steps, and the interval of periodic work.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
-/// The most requests woken in one step; the rest follow in the next.
+/// The maximum number of due requests that one step handles; the next step handles the rest.
 const WAKE_LIMIT: usize = 256;
 
-/// What an entry VM is told when it starts.
+/// The options that an entry VM starts with.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EntryOptions {
     /// The VM's name.
     pub name: VmName,
-    /// Its data centre.
+    /// The VM's data centre.
     pub data_centre: DataCentreName,
-    /// This life of its process.
+    /// The incarnation of the VM's process: one run, from start to exit.
     pub incarnation: Incarnation,
-    /// The seed of its randomness.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Peers known from the settings, for a start while the platform's list is away.
+    /// Peers from the settings, for a start while the platform's list of VMs is unavailable.
     pub peers: Vec<KnownPeer>,
-    /// Safeguards; all on but in mutation tests.
+    /// The safeguards that are enabled; mutation tests disable them one at a time.
     pub switches: SafeguardSwitches,
 }
 
 impl EntryOptions {
-    /// Creates options without known peers.
+    /// Creates options without peers from the settings.
     pub fn new(name: VmName, data_centre: DataCentreName, incarnation: Incarnation) -> Self {
         Self {
             name,
@@ -72,72 +73,72 @@
         }
     }
 
-    /// Sets the seed of the randomness.
+    /// Sets the seed of the random number generator.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Sets the peers known from the settings.
+    /// Sets the peers from the settings.
     pub fn with_peers(mut self, peers: Vec<KnownPeer>) -> Self {
         self.peers = peers;
         self
     }
 
-    /// Sets the safeguards.
+    /// Sets which safeguards are enabled.
     pub fn with_switches(mut self, switches: SafeguardSwitches) -> Self {
         self.switches = switches;
         self
     }
 }
 
-/// A peer named in the settings.
+/// A peer VM from the settings.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct KnownPeer {
-    /// Its name.
+    /// The peer's name.
     pub name: VmName,
-    /// Its data centre.
+    /// The peer's data centre.
     pub data_centre: DataCentreName,
-    /// Where it listens.
+    /// The address that the peer listens on.
     pub address: net::SocketAddr,
 }
 
-/// What an entry VM can say of itself.
+/// The status of an entry VM, for operators.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct EntryStatus {
-    /// Its name.
+    /// The VM's name.
     pub name: VmName,
-    /// The revision in force; 0 when none is.
+    /// The configuration revision in force; 0 if there is none.
     pub revision: Revision,
-    /// Whether it serves, drains or is done.
+    /// Whether the VM serves, drains or has finished draining.
     pub drain: DrainState,
-    /// Requests held, by state.
+    /// The number of open requests in each state.
     pub requests: BTreeMap<RequestState, usize>,
-    /// Claims not settled.
+    /// The number of claims on idempotency keys that are still open.
     pub claims: usize,
-    /// Peers heard lately, with the revision in force there.
+    /// Peers that are alive, with the revision in force at each.
     pub peers: BTreeMap<VmName, Revision>,
-    /// Peers known and not heard.
+    /// Known peers that are not alive.
     pub silent_peers: Vec<VmName>,
-    /// The scopes that it arbitrates, or serves from its own share.
+    /// The scopes that this VM arbitrates, either for all VMs or over its own share.
     pub scopes: Vec<ScopeStatus>,
-    /// Requests that are sent to no target, since they crash them.
+    /// The number of quarantined requests: requests that crash targets and are sent to none.
     #[serde(default)]
     pub quarantined: usize,
 }
 
-/// What an arbiter can say of its scope.
+/// The status of an arbiter's scope.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ScopeStatus {
     /// The service's name.
     pub service: String,
     /// The data centre's name.
     pub data_centre: String,
-    /// Whether this VM arbitrates for all, or only over its own share.
+    /// Whether this VM arbitrates for all VMs (`true`) or only over its own share (`false`).
     pub elected: bool,
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub waiting: usize,
-    /// Slots in use.
+    /// The number of slots in use.
     pub held: usize,
 }
 
@@ -146,8 +147,8 @@
 /// # Example
 ///
 /// ```
-/// use ryetide_core::{entry::{EntryCore, EntryOptions}, effect::{Effect, EffectBuffer}, event::Event};
-/// use ryetide_core::{ids::{DataCentreName, Incarnation, VmName}, units::Moment};
+/// use ryetide_core::{effect::{Effect, EffectBuffer}, entry::{EntryCore, EntryOptions}};
+/// use ryetide_core::{event::Event, ids::{DataCentreName, Incarnation, VmName}, units::Moment};
 ///
 /// let options =
 ///     EntryOptions::new(VmName::from("e1"), DataCentreName::from("hall-a"), Incarnation(1));
@@ -165,19 +166,19 @@
     pub(crate) configuration: ConfigurationKeeper,
     pub(crate) peers: PeerTable,
     pub(crate) arbiters: BTreeMap<ScopeKey, ScopeArbiter>,
-    /// Who arbitrates each scope of the catalog, as last computed.
+    /// The VM that arbitrates each scope of the catalog, as last computed.
     pub(crate) elected: BTreeMap<ScopeKey, Option<VmName>>,
-    /// Targets that the platform's list says are leaving.
+    /// Targets that the platform's list marks as leaving.
     pub(crate) leaving_targets: BTreeSet<TargetKey>,
-    /// Targets that have said in their answers that they leave.
+    /// Targets that announced in their answers that they are leaving.
     pub(crate) words: LeavingWords,
-    /// What targets have said of their limits.
+    /// The rate limits that targets announced in their answers.
     pub(crate) limits: LimitBook,
-    /// Those of them that the platform's list did not name when it was read last.
+    /// Targets in `words` that were missing from the platform's list when it was last read.
     pub(crate) unlisted_words: BTreeSet<TargetKey>,
-    /// Which requests ended in crashes of targets.
+    /// Crashes of targets, and the requests that were running at the time.
     pub(crate) crashes: CrashLedger,
-    /// Requests that wait until it is known what they have to do with crashes.
+    /// Requests held back until it is known whether they crash targets.
     pub(crate) unsettled: Vec<UnsettledRequest>,
     pub(crate) watched: Vec<TargetKey>,
     pub(crate) verdicts: Vec<ArbiterVerdict>,
@@ -190,7 +191,7 @@
 }
 
 impl EntryCore {
-    /// Creates the core of a VM that has just started.
+    /// Creates the core of a VM that has just started, without a configuration.
     pub fn new(options: EntryOptions) -> Self {
         let (name, switches) = (options.name.clone(), options.switches);
         let mut peers = PeerTable::new(name.clone(), options.data_centre.clone());
@@ -223,34 +224,34 @@
         }
     }
 
-    /// Takes one event that happened at `now`, and pushes what is to be done about it.
+    /// Handles one event that happened at `now`, and pushes the resulting effects.
     ///
-    /// `now` must not lie before the moment of an earlier step.
+    /// `now` must not be earlier than in a previous step.
     pub fn step(&mut self, now: Moment, event: Event, effects: &mut EffectBuffer) {
         match event {
             Event::Tick => {}
             Event::Arrived(request) => self.take_in(now, request, effects),
             Event::CallerGone { sequence } => {
                 self.forget_unsettled(sequence);
-                self.caller_gone(now, sequence, effects);
+                self.handle_caller_gone(now, sequence, effects);
             }
             Event::Connected { sequence, attempt } => {
-                self.connected(now, sequence, attempt, effects);
+                self.handle_connected(now, sequence, attempt, effects);
             }
             Event::ConnectFailed { sequence, attempt } => {
-                self.connect_failed(now, sequence, attempt, effects);
+                self.handle_connect_failed(now, sequence, attempt, effects);
             }
             Event::TargetHead { sequence, attempt, head } => {
-                self.target_head(now, sequence, attempt, head, effects);
+                self.handle_answer_head(now, sequence, attempt, head, effects);
             }
             Event::TargetPiece { sequence, attempt, offset, bytes } => {
-                self.target_piece(now, sequence, attempt, offset, bytes, effects);
+                self.handle_answer_piece(now, sequence, attempt, offset, bytes, effects);
             }
             Event::TargetEnd { sequence, attempt, length } => {
-                self.target_end(now, sequence, attempt, length, effects);
+                self.handle_answer_end(now, sequence, attempt, length, effects);
             }
             Event::TargetBroken { sequence, attempt } => {
-                self.target_broken(now, sequence, attempt, effects);
+                self.handle_stream_broken(now, sequence, attempt, effects);
             }
             Event::TargetSaid { sequence, target, word } => {
                 self.target_said(now, sequence, target, word, effects);
@@ -259,23 +260,23 @@
                 self.target_crashed(now, target, print, ran_ms, effects);
             }
             Event::TargetRefused { sequence, attempt, leaving } => {
-                self.target_refused(now, sequence, attempt, leaving, effects);
+                self.handle_target_refusal(now, sequence, attempt, leaving, effects);
             }
             Event::ResumeUnknown { sequence, attempt } => {
-                self.resume_unknown(now, sequence, attempt, effects);
+                self.handle_resume_unknown(now, sequence, attempt, effects);
             }
             Event::LoadReported { target, report } => {
                 for arbiter in self.arbiters.values_mut() {
-                    arbiter.note_report(now, target, &report, &mut self.notices);
+                    arbiter.record_report(now, target, &report, &mut self.notices);
                 }
             }
             Event::PeerMessage { from, incarnation, address, data_centre, message } => {
                 let sender = MessageSender { name: from, incarnation, address, data_centre };
-                self.peer_message(now, &sender, message, effects);
+                self.handle_peer_message(now, &sender, message, effects);
             }
-            Event::ListRead(listed) => self.list_read(now, &listed, effects),
+            Event::ListRead(listed) => self.handle_list(now, &listed, effects),
             Event::TableReplied { token, answer } => {
-                self.table_replied(now, token, &answer, effects);
+                self.handle_table_reply(now, token, &answer, effects);
             }
             Event::Apply { operation, base, text } => {
                 let token = self.take_token();
@@ -286,19 +287,19 @@
         self.advance(now, effects);
     }
 
-    /// Returns when [`EntryCore::step`] must be called again if no event comes before.
+    /// Returns when [`EntryCore::step`] must be called again if no event happens earlier.
     pub fn next_wake(&self, now: Moment) -> Moment {
         if self.more_due {
             return now;
         }
         let arbiters = self.arbiters.values().filter_map(|arbiter| arbiter.next_wake(now));
         let idle = self.maintained_at + IDLE_INTERVAL;
-        let settled = self.unsettled.iter().map(|waiting| waiting.until).min();
-        let wakes = arbiters.chain(self.requests.next_wake()).chain(settled);
+        let held_back = self.unsettled.iter().map(|waiting| waiting.until).min();
+        let wakes = arbiters.chain(self.requests.next_wake()).chain(held_back);
         wakes.chain([idle]).min().unwrap_or(idle).max(now)
     }
 
-    /// Returns what this VM can say of itself.
+    /// Returns the status of this VM.
     pub fn status(&self) -> EntryStatus {
         let mut requests = BTreeMap::new();
         for (_, record) in self.requests.iter() {
@@ -362,11 +363,11 @@
         TableToken(self.next_token)
     }
 
-    pub(crate) fn life(&self) -> LifeMark {
+    pub(crate) fn incarnation_tag(&self) -> LifeMark {
         LifeMark(self.options.incarnation.0 as u16)
     }
 
-    /// Does what has fallen due.
+    /// Handles everything that is due at `now`, and delivers the arbiters' decisions.
     fn advance(&mut self, now: Moment, effects: &mut EffectBuffer) {
         self.more_due = false;
         self.settle(now, effects);
@@ -377,7 +378,7 @@
             let Some(sequence) = self.requests.pop_due(now) else {
                 break;
             };
-            self.request_due(now, sequence, effects);
+            self.handle_due(now, sequence, effects);
         }
         if now.since(self.maintained_at) >= IDLE_INTERVAL || self.maintained_at == Moment(0) {
             self.maintain(now, effects);
@@ -389,21 +390,22 @@
             }
         }
         self.deliver_verdicts(now, effects);
-        let news = self.crashes.take_news().into_iter().map(Notice::Quarantine);
-        for notice in self.notices.drain(..).chain(news) {
+        let quarantines = self.crashes.take_news().into_iter().map(Notice::Quarantine);
+        for notice in self.notices.drain(..).chain(quarantines) {
             effects.push(Effect::Note(notice));
         }
         self.more_due = self.requests.next_wake().is_some_and(|at| at <= now);
         self.finish_drain(effects);
     }
 
-    /// Regular work: heartbeats, silent peers, the table's row, old outcomes.
+    /// Does periodic work: sends heartbeats, finds silent peers, reads the configuration row of the
+    /// table service, and drops outcomes, crash records and target notices that are too old.
     fn maintain(&mut self, now: Moment, effects: &mut EffectBuffer) {
         if self.maintained_at == Moment(0) {
             effects.push(Effect::ConnectPeers(self.peers.addresses()));
         }
         self.maintained_at = now.max(Moment(1));
-        self.find_silent_peers(now, effects);
+        self.expire_silent_peers(now, effects);
         if now >= self.heartbeat_at {
             self.send_heartbeats(now, effects);
         }
@@ -420,7 +422,7 @@
         self.age_limits(now);
     }
 
-    fn table_replied(
+    fn handle_table_reply(
         &mut self,
         now: Moment,
         token: TableToken,
@@ -428,7 +430,7 @@
         effects: &mut EffectBuffer,
     ) {
         if let Some(sequence) = self.claims.request_of(token) {
-            self.claim_answered(now, sequence, answer, effects);
+            self.handle_claim_answer(now, sequence, answer, effects);
             return;
         }
         let next_token = &mut self.next_token;
@@ -438,12 +440,12 @@
         };
         let handling = self.configuration.handle_table(now, token, answer, &mut tokens, effects);
         if handling.adopted {
-            self.configuration_changed(now, effects);
+            self.apply_configuration(now, effects);
         }
     }
 
-    /// Takes the platform's list: entry VMs, and targets that leave.
-    fn list_read(&mut self, now: Moment, listed: &[ListedVm], effects: &mut EffectBuffer) {
+    /// Handles the platform's list of VMs: updates the peers, and which targets are leaving.
+    fn handle_list(&mut self, now: Moment, listed: &[ListedVm], effects: &mut EffectBuffer) {
         if self.peers.take_list(listed) {
             effects.push(Effect::ConnectPeers(self.peers.addresses()));
             self.elect(now, effects);
@@ -458,25 +460,26 @@
         let leaving: BTreeSet<TargetKey> =
             keyed.iter().filter(|(_, leaves)| *leaves).map(|(key, _)| *key).collect();
         self.take_back_words(&names, &leaving);
-        let stayed = self.leaving_targets.difference(&leaving).copied();
-        let stayed: Vec<TargetKey> = stayed.filter(|key| !self.words.holds(*key)).collect();
+        let staying = self.leaving_targets.difference(&leaving).copied();
+        let staying: Vec<TargetKey> = staying.filter(|key| !self.words.holds(*key)).collect();
         for arbiter in self.arbiters.values_mut() {
             for key in &leaving {
                 arbiter.note_leaving(*key, true, &mut self.notices);
             }
-            for key in &stayed {
+            for key in &staying {
                 arbiter.note_leaving(*key, false, &mut self.notices);
             }
         }
         self.leaving_targets = leaving;
     }
 
-    /// Stops taking work: what waits is answered at once, what runs is finished.
+    /// Starts draining: requests that are not yet dispatched are answered immediately, and
+    /// dispatched ones run to completion.
     fn shutdown(&mut self, now: Moment, effects: &mut EffectBuffer) {
         if !chart::drain().advance(&mut self.drain, DrainEvent::Shutdown) {
             return;
         }
-        // Taken in again, they are told at once that this VM stops.
+        // Admission refuses every request while this VM drains, so these are answered immediately.
         for waiting in std::mem::take(&mut self.unsettled) {
             self.arrive(now, waiting.request, waiting.print, effects);
         }
@@ -487,7 +490,7 @@
             .map(|(sequence, _)| sequence)
             .collect();
         for sequence in waiting {
-            self.give_up_draining(now, sequence, effects);
+            self.finish_draining(now, sequence, effects);
         }
         self.peers.leave();
         self.elect(now, effects);
--- a/crates/ryetide-core/src/entry_admission.rs
+++ b/crates/ryetide-core/src/entry_admission.rs
@@ -1,4 +1,5 @@
-//! Taking requests in: names are checked, keys are claimed, and what cannot run is answered at once.
+//! Admission of requests: validates them, claims their idempotency keys, and answers at once those
+//! that cannot run.
 
 use std::time::Duration;
 
@@ -17,19 +18,20 @@
     units::{ByteSize, Moment, TierRank},
 };
 
-/// When to come back to a VM that is shutting down: the balancer will have moved on.
+/// The retry delay while this VM shuts down. By then the load balancer no longer sends requests to
+/// this VM.
 pub(crate) const DRAINING_RETRY: Duration = Duration::from_secs(1);
-/// When to come back while no configuration is in force.
+/// The retry delay while no configuration is in force.
 const EMPTY_RETRY: Duration = Duration::from_secs(2);
-/// When to come back while the table service cannot take a claim.
+/// The retry delay while the table service cannot record a claim.
 const PLATFORM_RETRY: Duration = Duration::from_secs(5);
-/// When to come back while a dependency is down.
+/// The retry delay while a service that this one depends on is down.
 const DEPENDENCY_RETRY: Duration = Duration::from_secs(2);
-/// When to ask again for the answer of an earlier request that is still in progress.
+/// The retry delay while an earlier request with the same key is still in progress.
 const IN_PROGRESS_RETRY: Duration = Duration::from_secs(1);
 
 impl EntryCore {
-    /// Takes a request in that may be sent to targets.
+    /// Admits a request that is not quarantined, or answers it at once if it cannot run.
     pub(crate) fn arrive(
         &mut self,
         now: Moment,
@@ -38,7 +40,7 @@
         effects: &mut EffectBuffer,
     ) {
         let sequence = request.sequence;
-        match self.check(&request) {
+        match self.check_runnable(&request) {
             Ok((profile, rule_limit)) => {
                 let claim_key =
                     request.key.as_ref().map(|key| claim::row_key(&request.organisation, key));
@@ -70,7 +72,7 @@
                     wake: None,
                 };
                 self.requests.insert(sequence, record);
-                self.admit(now, sequence, effects);
+                self.claim_or_ask(now, sequence, effects);
             }
             Err(answer) => {
                 let answer = without_claim(answer, request.key.is_some());
@@ -79,8 +81,12 @@
         }
     }
 
-    /// Finds what is known at once to keep a request from running.
-    fn check(&self, request: &CallerRequest) -> Result<(AskProfile, ByteSize), FinalAnswer> {
+    /// Checks whether a request can run as far as is known on arrival. Returns its profile and the
+    /// limit on the length of its answer, or the answer that refuses it.
+    fn check_runnable(
+        &self,
+        request: &CallerRequest,
+    ) -> Result<(AskProfile, ByteSize), FinalAnswer> {
         let not_run = |reason, retry| FinalAnswer::NotRun { reason, retry_after: Some(retry) };
         if self.is_draining() {
             return Err(not_run(RefuseReason::Draining, DRAINING_RETRY));
@@ -89,12 +95,13 @@
             return Err(not_run(RefuseReason::NoConfiguration, EMPTY_RETRY));
         }
         let (service, profile) = self.resolve(request).map_err(FinalAnswer::Rejected)?;
-        if self.needs_are_down(profile.service) {
+        if self.has_dependency_down(profile.service) {
             return Err(not_run(RefuseReason::DependencyDown, DEPENDENCY_RETRY));
         }
         Ok((profile, service.body_limit))
     }
 
+    /// Validates a request and looks up the service, organisation and tier that it names.
     fn resolve(&self, request: &CallerRequest) -> Result<(&ServiceRule, AskProfile), RejectReason> {
         let catalog = self.configuration.catalog();
         let service_key = ServiceKey::of(&request.service.as_str().into());
@@ -129,18 +136,18 @@
         Ok((service, profile))
     }
 
-    /// Returns whether a service that `service` depends on has no usable target anywhere, as far as
-    /// this VM and the arbiters that it hears know.
-    fn needs_are_down(&self, service: ServiceKey) -> bool {
+    /// Returns whether a service that `service` depends on has no usable target in any data centre,
+    /// according to this VM's own arbiters and the heartbeats of its peers.
+    fn has_dependency_down(&self, service: ServiceKey) -> bool {
         let catalog = self.configuration.catalog();
-        let down = |need: &ServiceKey| {
-            catalog.scopes_of(*need).iter().all(|scope| self.scope_is_down(*scope))
+        let down = |dependency: &ServiceKey| {
+            catalog.scopes_of(*dependency).iter().all(|scope| self.scope_is_down(*scope))
         };
         catalog.needs_of(service).iter().any(down)
     }
 
-    /// Lets a request go on to ask for a slot, or claims its key first.
-    fn admit(&mut self, now: Moment, sequence: RequestSequence, effects: &mut EffectBuffer) {
+    /// Claims the request's idempotency key, or asks for a slot if it has none.
+    fn claim_or_ask(&mut self, now: Moment, sequence: RequestSequence, effects: &mut EffectBuffer) {
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
@@ -156,18 +163,18 @@
         self.requests.set_wake(sequence, Some(deadline.min(limit)));
         let token = self.take_token();
         let step = self.claims.begin(sequence, key, token);
-        self.claim_stepped(now, sequence, step, token, effects);
+        self.apply_claim_step(now, sequence, step, token, effects);
     }
 
-    /// The longest time that a request's tier may wait.
+    /// Returns how long requests of this request's tier may wait.
     pub(crate) fn wait_limit(&self, sequence: RequestSequence) -> Duration {
         let tier = self.requests.get(sequence).map_or(TierRank(0), |record| record.profile.tier);
         let tiers = self.configuration.catalog().tiers();
         tiers.get(usize::from(tier.0)).map_or(Duration::ZERO, |rule| rule.wait)
     }
 
-    /// Takes the table service's answer to a claim.
-    pub(crate) fn claim_answered(
+    /// Handles the table service's answer to a claim's command.
+    pub(crate) fn handle_claim_answer(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -177,11 +184,11 @@
         let token = self.take_token();
         let mut tokens = || token;
         let step = self.claims.handle_table(sequence, answer, &mut tokens);
-        self.claim_stepped(now, sequence, step, token, effects);
+        self.apply_claim_step(now, sequence, step, token, effects);
     }
 
-    /// Does what follows for a claim.
-    fn claim_stepped(
+    /// Carries out the next step of a claim.
+    fn apply_claim_step(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -200,12 +207,14 @@
                 }
             }
             ClaimStep::Query(holder) => self.query_holder(now, sequence, holder, effects),
-            ClaimStep::Earlier(outcome) => self.answer_repeat(now, sequence, outcome, effects),
-            ClaimStep::Unavailable => self.leave_unchecked(now, sequence, PLATFORM_RETRY, effects),
+            ClaimStep::Earlier(outcome) => self.answer_repeated(now, sequence, outcome, effects),
+            ClaimStep::Unavailable => {
+                self.finish_key_unchecked(now, sequence, PLATFORM_RETRY, effects);
+            }
         }
     }
 
-    /// Asks the VM that holds a key what became of its request.
+    /// Asks the VM that holds a key for the outcome of its request.
     fn query_holder(
         &mut self,
         now: Moment,
@@ -215,26 +224,26 @@
     ) {
         if self.claims.is_own(&holder) {
             let outcome = self.claims.outcome_of(holder.sequence);
-            self.take_outcome(now, sequence, outcome, effects);
+            self.apply_outcome(now, sequence, outcome, effects);
             return;
         }
         let peer = self.peers.alive().find(|peer| peer.name == holder.vm);
         if peer.is_none_or(|peer| peer.incarnation != Some(holder.incarnation)) {
             let token = self.take_token();
             let step = self.claims.handle_no_holder(sequence, token);
-            self.claim_stepped(now, sequence, step, token, effects);
+            self.apply_claim_step(now, sequence, step, token, effects);
             return;
         }
         let until = now + claim::QUERY_TIMEOUT;
         self.claims.await_query(sequence, until);
         self.requests.set_wake(sequence, Some(until));
         let to = holder.vm.clone();
-        let ask = AskRef { life: self.life(), sequence };
+        let ask = AskRef { life: self.incarnation_tag(), sequence };
         effects.push(Effect::Send { to, message: PeerMessage::OutcomeQuery { holder, ask } });
     }
 
-    /// Takes what the holder of a key said.
-    pub(crate) fn take_outcome(
+    /// Handles the outcome that the holder of a key reported.
+    pub(crate) fn apply_outcome(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -243,11 +252,11 @@
     ) {
         let token = self.take_token();
         let step = self.claims.handle_outcome(sequence, outcome, token);
-        self.claim_stepped(now, sequence, step, token, effects);
+        self.apply_claim_step(now, sequence, step, token, effects);
     }
 
-    /// The claim's time is over: the holder did not answer, or the table did not.
-    pub(crate) fn claim_due(
+    /// Handles a claim that timed out: the holder of the key or the table service did not answer.
+    pub(crate) fn handle_claim_timeout(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -256,15 +265,17 @@
         if self.claims.query_until(sequence).is_some_and(|until| now >= until) {
             let token = self.take_token();
             let step = self.claims.handle_no_holder(sequence, token);
-            self.claim_stepped(now, sequence, step, token, effects);
+            self.apply_claim_step(now, sequence, step, token, effects);
             return;
         }
-        self.leave_unchecked(now, sequence, PLATFORM_RETRY, effects);
+        self.finish_key_unchecked(now, sequence, PLATFORM_RETRY, effects);
     }
 
-    /// Ends a request whose claim is not held. It did not run and never will, but an earlier one with
-    /// the same key may have: a shop that is told "not run" would order again under a new key.
-    fn leave_unchecked(
+    /// Ends a request that does not hold the claim on its key, with the outcome "unknown".
+    ///
+    /// The request itself did not run and never will, but an earlier one with the same key may
+    /// have. A caller that received "not run" would repeat the work under a new key.
+    fn finish_key_unchecked(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -280,9 +291,11 @@
         self.finish(now, sequence, answer, effects);
     }
 
-    /// Answers a request whose key belongs to an earlier one. This one itself never runs, but its
-    /// caller asks about the work, so only "not run" of the earlier one would be "not run" here.
-    fn answer_repeat(
+    /// Answers a request whose key belongs to an earlier request, with that request's outcome.
+    ///
+    /// This request never runs, but "not run" would be wrong: its caller needs to know whether the
+    /// work was done, and the earlier request may have done it.
+    fn answer_repeated(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -302,34 +315,36 @@
         };
         if let Some(record) = self.requests.get_mut(sequence) {
             record.handle(RequestEvent::LoseTrack);
-            // The key is the earlier request's: ending this one must not touch its outcome.
+            // The key belongs to the earlier request, whose outcome `finish` must not overwrite.
             record.claim_key = None;
         }
         self.finish(now, sequence, answer, effects);
     }
 
-    /// Drops a request whose caller has gone before it was dispatched.
-    pub(crate) fn drop_waiting(
+    /// Ends a request whose caller disconnected before it was dispatched.
+    pub(crate) fn finish_abandoned(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         effects: &mut EffectBuffer,
     ) {
-        self.leave_unchecked_or_give_up(now, sequence, RefuseReason::CallerGone, None, effects);
+        self.finish_before_dispatch(now, sequence, RefuseReason::CallerGone, None, effects);
     }
 
-    /// Gives up a request at shutdown.
-    pub(crate) fn give_up_draining(
+    /// Ends a request that is not dispatched yet because this VM shuts down.
+    pub(crate) fn finish_draining(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         effects: &mut EffectBuffer,
     ) {
         let (reason, retry) = (RefuseReason::Draining, Some(DRAINING_RETRY));
-        self.leave_unchecked_or_give_up(now, sequence, reason, retry, effects);
+        self.finish_before_dispatch(now, sequence, reason, retry, effects);
     }
 
-    fn leave_unchecked_or_give_up(
+    /// Ends a request that was not dispatched: with "unknown" while its key is being claimed, else
+    /// with "not run".
+    fn finish_before_dispatch(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -339,13 +354,13 @@
     ) {
         let state = self.requests.get(sequence).map(|record| record.state);
         if state == Some(RequestState::Claiming) {
-            self.leave_unchecked(now, sequence, retry.unwrap_or(PLATFORM_RETRY), effects);
+            self.finish_key_unchecked(now, sequence, retry.unwrap_or(PLATFORM_RETRY), effects);
         } else {
             self.give_up(now, sequence, reason, retry, effects);
         }
     }
 
-    /// Ends a request that was not dispatched: it did not run, and never will.
+    /// Ends a request that was not dispatched with the answer "not run".
     pub(crate) fn give_up(
         &mut self,
         now: Moment,
@@ -367,15 +382,15 @@
         self.finish(now, sequence, FinalAnswer::NotRun { reason, retry_after }, effects);
     }
 
-    /// Runs a claim's command whose answer nobody waits for.
+    /// Sends a command of a claim to the table service without waiting for the answer.
     pub(crate) fn send_command(&mut self, command: TableCommand, effects: &mut EffectBuffer) {
         let token = self.take_token();
         effects.push(Effect::Table { token, command });
     }
 }
 
-/// What a request may be told before its key was looked up: "not run" is true of it alone, and its
-/// caller asks about the work.
+/// Returns the answer to a request whose claim was not made: "not run" becomes "unknown" if it has
+/// a key, because an earlier request with the same key may have run.
 pub(crate) fn without_claim(answer: FinalAnswer, has_key: bool) -> FinalAnswer {
     match answer {
         FinalAnswer::NotRun { retry_after, .. } if has_key => {
--- a/crates/ryetide-core/src/entry_dispatch.rs
+++ b/crates/ryetide-core/src/entry_dispatch.rs
@@ -1,9 +1,9 @@
-//! Dispatching requests, at most once each, and putting their answers together.
+//! Dispatches each request at most once, and reassembles its answer.
 //!
-//! A connection is opened first and nothing is sent on it. When it stands, everything that could
-//! have changed since the grant is looked at again, the request enters `dispatching` for good, and
-//! only then may the first byte go out. A stream that breaks or falls silent afterwards is resumed
-//! over a new connection by request id, which is not a second dispatch.
+//! First a connection is opened, and nothing is sent on it. Once it is open, the deadline and the
+//! target are checked again, the request irrevocably enters `dispatching`, and only then may the
+//! first byte be sent. A stream that breaks or times out afterwards is resumed over a new
+//! connection by request id, which is not a second dispatch.
 
 use std::time::Duration;
 
@@ -20,22 +20,22 @@
     units::Moment,
 };
 
-/// A stream that has begun may be silent for this long before it is resumed.
-pub(crate) const PIECE_SILENCE: Duration = Duration::from_secs(2);
-/// A dispatch may be silent for this long before its first piece.
-const FIRST_SILENCE: Duration = Duration::from_secs(4);
-/// Further time before the first piece for each 1,000 prompt tokens.
-const FIRST_SILENCE_PER_THOUSAND: Duration = Duration::from_secs(1);
-/// A target that answers late is listened to for this long after the deadline.
-pub(crate) const LATE_LIMIT: Duration = Duration::from_secs(10);
-/// When to come back after a target refused.
+/// How long an answer that has begun may pause between pieces before it is resumed.
+pub(crate) const PIECE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the first piece of an answer may take before the answer is resumed.
+const FIRST_PIECE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time added to [`FIRST_PIECE_TIMEOUT`] for each 1,000 prompt tokens.
+const FIRST_PIECE_TIMEOUT_PER_THOUSAND: Duration = Duration::from_secs(1);
+/// How long after the deadline a late answer is still received.
+pub(crate) const LATE_ANSWER_GRACE: Duration = Duration::from_secs(10);
+/// The retry delay after a target refused the request.
 const REFUSED_RETRY: Duration = Duration::from_millis(500);
-/// When to come back when the deadline passed before the first byte went out.
+/// The retry delay when the deadline passed before the request was dispatched.
 const EXPIRED_RETRY: Duration = Duration::from_secs(1);
 
 impl EntryCore {
-    /// A connection stands: the request is dispatched on it, or its answer resumed.
-    pub(crate) fn connected(
+    /// Handles an opened connection: dispatches the request on it, or resumes its answer.
+    pub(crate) fn handle_connected(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -54,9 +54,11 @@
         }
     }
 
-    /// Looks again at what may have changed since the grant. A process that was frozen in between
-    /// wakes with a decision that may be minutes old. The driver looks at the clock once more before
-    /// the first byte; what remains of the race is a freeze within that one turn of its thread.
+    /// Dispatches a request, after it has checked again whatever may have changed since the grant.
+    ///
+    /// If the process was suspended in between, the grant may be minutes old. The driver checks the
+    /// deadline once more right before the first byte; the race that remains is a suspension
+    /// between that check and the write.
     fn dispatch(&mut self, now: Moment, sequence: RequestSequence, effects: &mut EffectBuffer) {
         let Some(record) = self.requests.get(sequence) else {
             return;
@@ -73,12 +75,12 @@
                 self.is_leaving(key) || self.configuration.catalog().target(service, key).is_none()
             });
             if leaving {
-                self.back_to_asking(now, sequence, ReleaseOutcome::Unused, effects);
+                self.ask_again(now, sequence, ReleaseOutcome::Unused, effects);
                 return;
             }
         }
-        let id = self.id_of(sequence);
-        let wait = first_silence(record);
+        let id = self.request_id(sequence);
+        let wait = first_piece_timeout(record);
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
@@ -95,21 +97,22 @@
         let (attempt, answer_limit) = (record.attempt, record.answer_limit);
         let (print, not_after) = (record.print, record.deadline);
         let order = TargetOrder::Dispatch { id, call, print, answer_limit, not_after };
-        let wake = self.silence_end(now, sequence, wait);
+        let wake = self.idle_timeout_at(now, sequence, wait);
         self.requests.set_wake(sequence, wake);
         effects.push(Effect::Permit { sequence, attempt, order });
     }
 
-    /// When a silence that starts now has lasted too long: for model engines the given bound, for
-    /// plain services, which cannot be resumed, the deadline.
-    pub(crate) fn silence_end(
+    /// Returns when the request times out if nothing arrives from now on: after `bound` for model
+    /// engines, but only after the deadline and its grace period for plain services, which cannot
+    /// resume an answer.
+    pub(crate) fn idle_timeout_at(
         &self,
         now: Moment,
         sequence: RequestSequence,
         bound: Duration,
     ) -> Option<Moment> {
         let record = self.requests.get(sequence)?;
-        let last = record.deadline + LATE_LIMIT;
+        let last = record.deadline + LATE_ANSWER_GRACE;
         let engine = record.route.as_ref().is_some_and(|route| route.engine);
         if !engine {
             return Some(last);
@@ -120,12 +123,14 @@
         Some(last.min(now + bound).max(now))
     }
 
-    pub(crate) fn id_of(&self, sequence: RequestSequence) -> RequestId {
+    /// Returns the id of a request of this VM.
+    pub(crate) fn request_id(&self, sequence: RequestSequence) -> RequestId {
         RequestId { vm: self.options.name.clone(), incarnation: self.options.incarnation, sequence }
     }
 
-    /// No connection could be opened: nothing was sent, so another target may be asked for.
-    pub(crate) fn connect_failed(
+    /// Handles a connection that could not be opened. Nothing was sent on it, so a request that is
+    /// not dispatched yet may go to another target.
+    pub(crate) fn handle_connect_failed(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -141,7 +146,7 @@
         record.connection_open = false;
         match record.state {
             RequestState::Connecting => {
-                self.back_to_asking(now, sequence, ReleaseOutcome::ConnectFailed, effects);
+                self.ask_again(now, sequence, ReleaseOutcome::ConnectFailed, effects);
             }
             RequestState::Resuming => {
                 record.handle(RequestEvent::ConnectFailed);
@@ -151,8 +156,9 @@
         }
     }
 
-    /// Returns a request whose connection carried nothing to the line.
-    fn back_to_asking(
+    /// Releases the slot of a request that was not dispatched on its connection, and asks for
+    /// another one.
+    fn ask_again(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -174,8 +180,9 @@
         self.ask_for_slot(now, sequence, effects);
     }
 
-    /// The head of an answer came; it is passed on once.
-    pub(crate) fn target_head(
+    /// Handles the head of an answer, and forwards it to the caller unless one was forwarded
+    /// before.
+    pub(crate) fn handle_answer_head(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -183,27 +190,27 @@
         head: AnswerHead,
         effects: &mut EffectBuffer,
     ) {
-        let Some(record) = self.current(sequence, attempt) else {
+        let Some(record) = self.current_attempt(sequence, attempt) else {
             return;
         };
         if std::mem::replace(&mut record.head_sent, true) {
             return;
         }
         let (gone, claim_key) = (record.caller_gone, record.claim_key.clone());
-        let bound = first_silence(record);
+        let bound = first_piece_timeout(record);
         self.note_head(now, sequence, effects);
         if let Some(key) = claim_key {
             self.claims.keep_head(&key, head.status, &head.content_type);
         }
-        let wake = self.silence_end(now, sequence, bound);
+        let wake = self.idle_timeout_at(now, sequence, bound);
         self.requests.set_wake(sequence, wake);
         if !gone {
             effects.push(Effect::BeginAnswer { sequence, head });
         }
     }
 
-    /// Returns the request if `attempt` is the connection that counts and bytes may come on it.
-    pub(crate) fn current(
+    /// Returns the request if `attempt` is its current connection and may deliver an answer.
+    pub(crate) fn current_attempt(
         &mut self,
         sequence: RequestSequence,
         attempt: AttemptNumber,
@@ -216,8 +223,9 @@
         (receiving && record.attempt == attempt).then_some(record)
     }
 
-    /// A piece of an answer came: what was passed on already is cut off, and a gap is not accepted.
-    pub(crate) fn target_piece(
+    /// Handles a piece of an answer: drops the bytes that were forwarded already, and treats a gap
+    /// as a broken stream.
+    pub(crate) fn handle_answer_piece(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -227,11 +235,11 @@
         effects: &mut EffectBuffer,
     ) {
         let checks = self.options.switches.offset_check;
-        let Some(record) = self.current(sequence, attempt) else {
+        let Some(record) = self.current_attempt(sequence, attempt) else {
             return;
         };
         if checks && offset > record.received {
-            self.target_broken(now, sequence, attempt, effects);
+            self.handle_stream_broken(now, sequence, attempt, effects);
             return;
         }
         let overlap = if checks { record.received - offset } else { 0 };
@@ -251,15 +259,16 @@
         if let Some(key) = claim_key {
             self.claims.keep_piece(&key, &fresh);
         }
-        let wake = self.silence_end(now, sequence, PIECE_SILENCE);
+        let wake = self.idle_timeout_at(now, sequence, PIECE_TIMEOUT);
         self.requests.set_wake(sequence, wake);
         if !gone {
             effects.push(Effect::SendPiece { sequence, bytes: fresh });
         }
     }
 
-    /// The target says that its answer has ended: it is whole only if every byte was passed on.
-    pub(crate) fn target_end(
+    /// Handles the end of an answer. The answer is complete only if every byte was forwarded;
+    /// otherwise the stream counts as broken.
+    pub(crate) fn handle_answer_end(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -268,11 +277,11 @@
         effects: &mut EffectBuffer,
     ) {
         let checks = self.options.switches.length_check;
-        let Some(record) = self.current(sequence, attempt) else {
+        let Some(record) = self.current_attempt(sequence, attempt) else {
             return;
         };
         if checks && length != record.received {
-            self.target_broken(now, sequence, attempt, effects);
+            self.handle_stream_broken(now, sequence, attempt, effects);
             return;
         }
         if record.handle(RequestEvent::End) {
@@ -281,9 +290,9 @@
         }
     }
 
-    /// The target refused. It was the one dispatch all the same: "not run" is said only where the
-    /// target's contract says that a refusal ran nothing.
-    pub(crate) fn target_refused(
+    /// Handles a target's refusal of a dispatched request. The request is not dispatched again, and
+    /// is answered "not run" only if the target's contract says that a refused request did not run.
+    pub(crate) fn handle_target_refusal(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -291,15 +300,15 @@
         leaving: bool,
         effects: &mut EffectBuffer,
     ) {
-        let trusting = !self.options.switches.refusal_contract;
-        let Some(record) = self.current(sequence, attempt) else {
+        let ignores_contract = !self.options.switches.refusal_contract;
+        let Some(record) = self.current_attempt(sequence, attempt) else {
             return;
         };
         record.connection_open = false;
         let (service, route) = (record.profile.service, record.route.clone());
         self.note_head(now, sequence, effects);
         let rule = route.and_then(|it| self.configuration.catalog().target(service, it.key));
-        let ran_nothing = trusting || rule.is_some_and(|rule| rule.refusal_ran_nothing);
+        let ran_nothing = ignores_contract || rule.is_some_and(|rule| rule.refusal_ran_nothing);
         let outcome = if leaving { ReleaseOutcome::TargetLeaving } else { ReleaseOutcome::Failed };
         self.release_slot(now, sequence, outcome, effects);
         let Some(record) = self.requests.get_mut(sequence) else {
@@ -310,12 +319,12 @@
             let answer = FinalAnswer::NotRun { reason, retry_after: Some(REFUSED_RETRY) };
             self.finish(now, sequence, answer, effects);
         } else {
-            self.lose_track(now, sequence, UnknownReason::TargetLost, effects);
+            self.finish_unknown(now, sequence, UnknownReason::TargetLost, effects);
         }
     }
 
-    /// Something fell due for a request.
-    pub(crate) fn request_due(
+    /// Handles a request whose timer is due.
+    pub(crate) fn handle_due(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -324,19 +333,19 @@
         let Some(record) = self.requests.get(sequence) else {
             return;
         };
-        let (attempt, over) = (record.attempt, now >= record.deadline + LATE_LIMIT);
+        let (attempt, over) = (record.attempt, now >= record.deadline + LATE_ANSWER_GRACE);
         match record.state {
-            RequestState::Claiming => self.claim_due(now, sequence, effects),
-            RequestState::Asking => self.ask_due(now, sequence, effects),
+            RequestState::Claiming => self.handle_claim_timeout(now, sequence, effects),
+            RequestState::Asking => self.handle_slot_wait_timeout(now, sequence, effects),
             RequestState::Connecting => {
                 let retry = Some(EXPIRED_RETRY);
                 self.give_up(now, sequence, RefuseReason::DeadlineUnreachable, retry, effects);
             }
             RequestState::Dispatching | RequestState::Running if over => {
-                self.cancel_late(now, sequence, effects);
+                self.finish_late(now, sequence, effects);
             }
             RequestState::Dispatching | RequestState::Running => {
-                self.target_broken(now, sequence, attempt, effects);
+                self.handle_stream_broken(now, sequence, attempt, effects);
             }
             RequestState::Resuming if record.connection_open => {
                 effects.push(Effect::Abandon { sequence, attempt });
@@ -352,7 +361,8 @@
     }
 }
 
-fn first_silence(record: &RequestRecord) -> Duration {
+/// Returns how long the first piece of a request's answer may take.
+fn first_piece_timeout(record: &RequestRecord) -> Duration {
     let thousands = u32::try_from(record.profile.prompt.0 / 1_000).unwrap_or(u32::MAX);
-    FIRST_SILENCE + FIRST_SILENCE_PER_THOUSAND.saturating_mul(thousands)
+    FIRST_PIECE_TIMEOUT + FIRST_PIECE_TIMEOUT_PER_THOUSAND.saturating_mul(thousands)
 }
--- a/crates/ryetide-core/src/entry_election.rs
+++ b/crates/ryetide-core/src/entry_election.rs
@@ -1,4 +1,4 @@
-//! Who arbitrates what, and what moves when that changes.
+//! Election of the arbiter of each scope, and the handover when it changes.
 
 use std::time::Duration;
 
@@ -17,11 +17,12 @@
     verdict::{ArbiterVerdict, AskKey, VerdictKind},
 };
 
-/// A new arbiter grants nothing for this long, so that it first hears what is in use.
+/// How long a newly elected arbiter grants nothing, so that its peers can first report the slots in
+/// use.
 const TAKEOVER_PAUSE: Duration = Duration::from_millis(150);
 
 impl EntryCore {
-    /// Creates the arbiter of `scope` here if there is none.
+    /// Creates an arbiter for `scope` on this VM unless there is one.
     pub(crate) fn ensure_arbiter(
         &mut self,
         now: Moment,
@@ -38,8 +39,8 @@
         let catalog = self.configuration.catalog();
         let switches = self.options.switches;
         let mut arbiter = ScopeArbiter::new(scope, catalog, share, now + pause, switches);
-        let said = self.words.all();
-        for target in self.leaving_targets.iter().copied().chain(said) {
+        let announced = self.words.all();
+        for target in self.leaving_targets.iter().copied().chain(announced) {
             arbiter.note_leaving(target, true, &mut self.notices);
         }
         self.arbiters.insert(scope, arbiter);
@@ -47,7 +48,7 @@
         self.watch_targets(effects);
     }
 
-    /// Queries the load of the targets that this VM's arbiters order, and of no others.
+    /// Polls the load of exactly those model engines whose scopes this VM's arbiters serve.
     pub(crate) fn watch_targets(&mut self, effects: &mut EffectBuffer) {
         let catalog = self.configuration.catalog();
         let mut routes = Vec::new();
@@ -65,8 +66,9 @@
         }
     }
 
-    /// Finds who arbitrates what, and moves what changed: a VM that is no longer elected hands its
-    /// waiting requests on, and every VM tells a new arbiter which of its slots are in use.
+    /// Computes the arbiter of each scope, and hands over the scopes whose arbiter changed: a VM
+    /// that is no longer elected refuses its waiting requests so that they go to the new arbiter,
+    /// and every VM reports the slots that it uses to the new arbiter.
     pub(crate) fn elect(&mut self, now: Moment, effects: &mut EffectBuffer) {
         let scopes = self.configuration.catalog().scopes();
         let mut changed = Vec::new();
@@ -91,9 +93,10 @@
         self.watch_targets(effects);
     }
 
+    /// Hands a scope over to its new arbiter.
     fn hand_over(&mut self, now: Moment, scope: ScopeKey, effects: &mut EffectBuffer) {
         if let Some(mut old) = self.arbiters.remove(&scope) {
-            for key in old.dissolve() {
+            for key in old.drain_waiting() {
                 self.verdicts.push(ArbiterVerdict {
                     key,
                     kind: VerdictKind::Refuse(RefuseReason::NotArbiter, Duration::ZERO),
@@ -110,12 +113,13 @@
             .map(|(sequence, _)| sequence)
             .collect();
         for sequence in of_scope {
-            self.follow_arbiter(now, sequence, scope, effects);
+            self.move_to_new_arbiter(now, sequence, scope, effects);
         }
     }
 
-    /// Tells the new arbiter of a slot in use, or asks it anew for one that waits.
-    fn follow_arbiter(
+    /// Reports the slot of a request to its scope's new arbiter, or requests a slot again if none
+    /// was granted yet.
+    fn move_to_new_arbiter(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -129,13 +133,14 @@
             return;
         };
         let Some(target) = slot.target else {
-            // What waited at an arbiter of this VM is asked anew by its verdict.
+            // A request that waited at this VM's arbiter asks again when it gets that arbiter's
+            // refusal.
             if slot.source != SlotSource::Own {
                 self.ask_for_slot(now, sequence, effects);
             }
             return;
         };
-        let ask = AskRef { life: self.life(), sequence };
+        let ask = AskRef { life: self.incarnation_tag(), sequence };
         let running = record.dispatched.map_or(Duration::ZERO, |at| now.since(at));
         let profile = record.profile.clone();
         let elected = self.elected.get(&scope).cloned().flatten();
@@ -155,7 +160,7 @@
                 self.ensure_arbiter(now, scope, effects);
                 let key = AskKey { vm: self.options.name.clone(), ask };
                 if let Some(arbiter) = self.arbiters.get_mut(&scope) {
-                    arbiter.note_holding(now, key, target, &profile, running);
+                    arbiter.record_held_slot(now, key, target, &profile, running);
                 }
                 SlotSource::Own
             }
--- a/crates/ryetide-core/src/entry_end.rs
+++ b/crates/ryetide-core/src/entry_end.rs
@@ -1,4 +1,4 @@
-//! How requests end: their final answers, their records, and what is given back.
+//! The end of a request: its final answer, its summary, and the release of its slot and claim.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
     units::{Moment, Tokens},
 };
 
-/// When to ask again, with the same key, for the outcome of a request that was lost track of.
+/// The retry delay with the same key after a request with an unknown outcome.
 const UNKNOWN_RETRY: Duration = Duration::from_secs(2);
 
 impl EntryCore {
-    /// Ends a request of which no more can be found out.
-    pub(crate) fn lose_track(
+    /// Ends a dispatched request with the answer "unknown": it may or may not have run.
+    pub(crate) fn finish_unknown(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -35,21 +35,24 @@
         self.finish(now, sequence, FinalAnswer::Unknown { reason, retry_after }, effects);
     }
 
-    /// A caller closed its connection. Waiting work is dropped; running work that may be repeated
-    /// is cancelled; work that may not be repeated runs to its end, and its outcome stays askable.
-    pub(crate) fn caller_gone(
+    /// Handles a caller that closed its connection.
+    ///
+    /// A request that is not dispatched is dropped. A dispatched one is cancelled unless it is
+    /// non-idempotent or has a key; then it runs to completion, and its outcome can be queried
+    /// afterwards.
+    pub(crate) fn handle_caller_gone(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         effects: &mut EffectBuffer,
     ) {
-        let id = self.id_of(sequence);
+        let id = self.request_id(sequence);
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
         record.caller_gone = true;
         if record.is_before_dispatch() {
-            self.drop_waiting(now, sequence, effects);
+            self.finish_abandoned(now, sequence, effects);
             return;
         }
         if record.non_idempotent || record.claim_key.is_some() {
@@ -58,27 +61,30 @@
         if let Some(route) = record.route.clone().filter(|route| route.engine) {
             effects.push(Effect::Cancel { id, route });
         }
-        self.lose_track(now, sequence, UnknownReason::TargetLost, effects);
+        self.finish_unknown(now, sequence, UnknownReason::TargetLost, effects);
     }
 
-    /// Stops listening to a target long after the deadline.
-    pub(crate) fn cancel_late(
+    /// Ends a request whose answer is still incomplete after the deadline and its grace period, and
+    /// cancels it at a model engine if it may be repeated.
+    pub(crate) fn finish_late(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         effects: &mut EffectBuffer,
     ) {
-        let id = self.id_of(sequence);
+        let id = self.request_id(sequence);
         let record = self.requests.get(sequence);
         let repeatable = record.is_some_and(|record| !record.non_idempotent);
         let route = record.and_then(|record| record.route.clone());
         if let Some(route) = route.filter(|route| route.engine && repeatable) {
             effects.push(Effect::Cancel { id, route });
         }
-        self.lose_track(now, sequence, UnknownReason::TargetLost, effects);
+        self.finish_unknown(now, sequence, UnknownReason::TargetLost, effects);
     }
 
-    /// Ends a request: the one place where final answers leave and records go.
+    /// Ends a request: releases its slot and claim, removes its record, and sends the final answer.
+    ///
+    /// Every request that has a record ends here, so that it gets exactly one final answer.
     pub(crate) fn finish(
         &mut self,
         now: Moment,
@@ -86,7 +92,7 @@
         answer: FinalAnswer,
         effects: &mut EffectBuffer,
     ) {
-        let kind = kind_of(&answer);
+        let kind = outcome_kind(&answer);
         let Some(record) = self.requests.get(sequence) else {
             return;
         };
@@ -107,7 +113,8 @@
             return;
         };
         if let Some(key) = &record.claim_key {
-            // Whatever its caller was told, a request that was not dispatched gives its key back.
+            // A request that was not dispatched did not run and releases its key, whatever answer
+            // its caller gets.
             let outcome = match kind {
                 _ if record.dispatched.is_none() => ClaimOutcome::NotRun,
                 OutcomeKind::Answered => ClaimOutcome::Answered(None),
@@ -126,6 +133,8 @@
         }
     }
 
+    /// Builds the summary of a finished request for metrics, or returns `None` if the configuration
+    /// no longer has its service, organisation or tier.
     fn summarize(
         &self,
         now: Moment,
@@ -159,7 +168,8 @@
     }
 }
 
-fn kind_of(answer: &FinalAnswer) -> OutcomeKind {
+/// Returns the kind under which a final answer is counted.
+fn outcome_kind(answer: &FinalAnswer) -> OutcomeKind {
     match answer {
         FinalAnswer::Answered | FinalAnswer::Replayed(_) => OutcomeKind::Answered,
         FinalAnswer::NotRun { .. } | FinalAnswer::Rejected(_) => OutcomeKind::NotRun,
--- a/crates/ryetide-core/src/entry_peer.rs
+++ b/crates/ryetide-core/src/entry_peer.rs
@@ -1,4 +1,4 @@
-//! Meeting the other entry VMs: heartbeats, the arbiter's side of asks, configuration, outcomes.
+//! Messages between entry VMs: heartbeats, slot requests, configuration, and outcomes of requests.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 };
 
 impl EntryCore {
-    /// Takes a message from a peer.
-    pub(crate) fn peer_message(
+    /// Handles a message from a peer.
+    pub(crate) fn handle_peer_message(
         &mut self,
         now: Moment,
         sender: &MessageSender,
@@ -26,33 +26,33 @@
         if sender.name == self.options.name {
             return;
         }
-        self.hear(now, sender, effects);
+        self.record_sender(now, sender, effects);
         match message {
             PeerMessage::Heartbeat(heartbeat) => {
-                self.heartbeat(now, sender, heartbeat, effects);
+                self.handle_heartbeat(now, sender, heartbeat, effects);
             }
-            PeerMessage::Ask(ask) => self.asked(now, sender, ask, effects),
+            PeerMessage::Ask(ask) => self.handle_slot_request(now, sender, ask, effects),
             PeerMessage::Withdraw { ask, scope } => {
                 let key = AskKey { vm: sender.name.clone(), ask };
                 if let Some(arbiter) = self.arbiters.get_mut(&scope) {
                     arbiter.withdraw(now, &key, &mut self.verdicts);
                 }
             }
-            PeerMessage::Release(release) => self.slot_released(now, sender, &release),
-            PeerMessage::Holding(holding) => self.slot_held(now, sender, holding, effects),
+            PeerMessage::Release(release) => self.handle_release(now, sender, &release),
+            PeerMessage::Holding(holding) => self.handle_held_slot(now, sender, holding, effects),
             PeerMessage::Grant { ask, target } => {
-                if self.is_for_this_life(ask) {
+                if self.is_for_this_incarnation(ask) {
                     let source = SlotSource::Peer(sender.name.clone());
-                    self.granted(now, ask.sequence, &source, target, effects);
+                    self.handle_grant(now, ask.sequence, &source, target, effects);
                 }
             }
-            PeerMessage::Queued { ask } => self.queued(sender, ask),
-            PeerMessage::Refuse(refuse) => self.ask_refused(now, sender, &refuse, effects),
-            PeerMessage::ConfigurationPull => self.hand_configuration(sender, effects),
+            PeerMessage::Queued { ask } => self.handle_queued(sender, ask),
+            PeerMessage::Refuse(refuse) => self.handle_peer_refusal(now, sender, &refuse, effects),
+            PeerMessage::ConfigurationPull => self.send_configuration(sender, effects),
             PeerMessage::ConfigurationPush(text) => {
                 let from = Some(sender.name.clone());
                 if self.configuration.adopt(text, from, effects) {
-                    self.configuration_changed(now, effects);
+                    self.apply_configuration(now, effects);
                 }
             }
             PeerMessage::OutcomeQuery { holder, ask } => {
@@ -67,20 +67,22 @@
             PeerMessage::Crashes(news) => self.crashes.take(now, &news),
             PeerMessage::OutcomeReply { ask, outcome } => {
                 let awaited = self.claims.query_until(ask.sequence).is_some();
-                if self.is_for_this_life(ask) && awaited {
-                    self.take_outcome(now, ask.sequence, outcome, effects);
+                if self.is_for_this_incarnation(ask) && awaited {
+                    self.apply_outcome(now, ask.sequence, outcome, effects);
                 }
             }
         }
     }
 
-    /// A reply meant for an earlier life of this VM names a request that is not this life's.
-    fn is_for_this_life(&self, ask: AskRef) -> bool {
-        !self.options.switches.life_check || ask.life == self.life()
+    /// Returns whether a reply is meant for this incarnation of the VM. In a reply to an earlier
+    /// one, the sequence number may belong to a different request.
+    fn is_for_this_incarnation(&self, ask: AskRef) -> bool {
+        !self.options.switches.life_check || ask.life == self.incarnation_tag()
     }
 
-    /// Notes a sign of life; a new life of a peer frees all that the old one held here.
-    fn hear(&mut self, now: Moment, sender: &MessageSender, effects: &mut EffectBuffer) {
+    /// Records that a peer is alive. A new incarnation of the peer frees all slots that its
+    /// previous one held here.
+    fn record_sender(&mut self, now: Moment, sender: &MessageSender, effects: &mut EffectBuffer) {
         let (name, centre) = (&sender.name, &sender.data_centre);
         let known = self.peers.get(name).is_some();
         let change = self.peers.hear(now, name, sender.incarnation, centre, sender.address);
@@ -89,7 +91,7 @@
         }
         if change.restarted {
             for arbiter in self.arbiters.values_mut() {
-                arbiter.forget_vm(now, name, &mut self.verdicts);
+                arbiter.remove_vm(now, name, &mut self.verdicts);
             }
         }
         if !known || change.restarted || change.appeared {
@@ -102,7 +104,8 @@
         }
     }
 
-    fn heartbeat(
+    /// Records a peer's heartbeat, and requests its configuration if that is newer.
+    fn handle_heartbeat(
         &mut self,
         now: Moment,
         sender: &MessageSender,
@@ -119,42 +122,42 @@
         }
     }
 
-    /// Sends a sign of life to every peer.
+    /// Sends a heartbeat to every peer, with what this VM knows of crashes and of targets.
     pub(crate) fn send_heartbeats(&mut self, now: Moment, effects: &mut EffectBuffer) {
         self.heartbeat_at = now + self.peers.heartbeat_interval();
-        let own = self.arbiters.values().filter(|arbiter| self.is_elected(arbiter.scope()));
+        let elected = self.arbiters.values().filter(|arbiter| self.is_elected(arbiter.scope()));
         let heartbeat = HeartbeatMessage {
             revision: self.configuration.revision(),
             leaving: self.is_draining(),
-            loads: own.filter_map(|arbiter| arbiter.load(now)).collect(),
+            loads: elected.filter_map(|arbiter| arbiter.load(now)).collect(),
         };
         for peer in self.peers.iter() {
             let message = PeerMessage::Heartbeat(heartbeat.clone());
             effects.push(Effect::Send { to: peer.name.clone(), message });
         }
-        let news = self.crashes.whole_news(now);
-        self.tell_crashes(&news, effects);
+        let crashes = self.crashes.whole_news(now);
+        self.tell_crashes(&crashes, effects);
         self.tell_words(now, effects);
         self.tell_limits(now, effects);
     }
 
-    /// Gives up what silent peers held, and finds new arbiters for what they ordered.
-    pub(crate) fn find_silent_peers(&mut self, now: Moment, effects: &mut EffectBuffer) {
+    /// Frees the slots that newly silent peers held, and elects new arbiters for their scopes.
+    pub(crate) fn expire_silent_peers(&mut self, now: Moment, effects: &mut EffectBuffer) {
         let silent = self.peers.find_silent(now);
         for name in &silent {
             effects.push(Effect::Note(Notice::PeerSilent(name.clone())));
             for arbiter in self.arbiters.values_mut() {
-                arbiter.forget_vm(now, name, &mut self.verdicts);
+                arbiter.remove_vm(now, name, &mut self.verdicts);
             }
         }
         if !silent.is_empty() {
             self.elect(now, effects);
         }
-        self.drop_idle_shares(effects);
+        self.drop_idle_arbiters(effects);
     }
 
-    /// Drops arbiters over this VM's own share once they are idle.
-    fn drop_idle_shares(&mut self, effects: &mut EffectBuffer) {
+    /// Drops idle arbiters that this VM runs over its own share.
+    fn drop_idle_arbiters(&mut self, effects: &mut EffectBuffer) {
         let own = &self.options.name;
         let elected = &self.elected;
         let before = self.arbiters.len();
@@ -167,7 +170,8 @@
         }
     }
 
-    fn asked(
+    /// Handles a peer's slot request, or refuses it if this VM does not arbitrate the scope.
+    fn handle_slot_request(
         &mut self,
         now: Moment,
         sender: &MessageSender,
@@ -195,14 +199,16 @@
         arbiter.ask(now, slot_ask, &mut self.rng, &mut self.verdicts);
     }
 
-    fn slot_released(&mut self, now: Moment, sender: &MessageSender, release: &ReleaseMessage) {
+    /// Handles a slot that a peer returned.
+    fn handle_release(&mut self, now: Moment, sender: &MessageSender, release: &ReleaseMessage) {
         if let Some(arbiter) = self.arbiters.get_mut(&release.scope) {
             let (verdicts, notices) = (&mut self.verdicts, &mut self.notices);
             arbiter.release(now, &sender.name, release, verdicts, notices);
         }
     }
 
-    fn slot_held(
+    /// Records a slot that a peer uses and that an earlier arbiter granted.
+    fn handle_held_slot(
         &mut self,
         now: Moment,
         sender: &MessageSender,
@@ -217,12 +223,13 @@
         let key = AskKey { vm: sender.name.clone(), ask: holding.ask };
         let running = Duration::from_millis(u64::from(holding.running_ms));
         if let Some(arbiter) = self.arbiters.get_mut(&scope) {
-            arbiter.note_holding(now, key, holding.target, &holding.profile, running);
+            arbiter.record_held_slot(now, key, holding.target, &holding.profile, running);
         }
     }
 
-    fn queued(&mut self, sender: &MessageSender, ask: AskRef) {
-        if !self.is_for_this_life(ask) {
+    /// Records that a peer queued a slot request of this VM, which then waits until its deadline.
+    fn handle_queued(&mut self, sender: &MessageSender, ask: AskRef) {
+        if !self.is_for_this_incarnation(ask) {
             return;
         }
         let Some(record) = self.requests.get_mut(ask.sequence) else {
@@ -239,31 +246,34 @@
         }
     }
 
-    fn ask_refused(
+    /// Handles a peer's refusal of a slot request of this VM.
+    fn handle_peer_refusal(
         &mut self,
         now: Moment,
         sender: &MessageSender,
         refuse: &RefuseMessage,
         effects: &mut EffectBuffer,
     ) {
-        if !self.is_for_this_life(refuse.ask) {
+        if !self.is_for_this_incarnation(refuse.ask) {
             return;
         }
         let source = SlotSource::Peer(sender.name.clone());
         let retry = Duration::from_millis(u64::from(refuse.retry_ms));
         let verdict = (refuse.reason, retry);
-        self.refused(now, refuse.ask.sequence, &source, verdict, effects);
+        self.handle_refusal(now, refuse.ask.sequence, &source, verdict, effects);
     }
 
-    fn hand_configuration(&mut self, sender: &MessageSender, effects: &mut EffectBuffer) {
+    /// Sends the configuration in force to a peer that requested it.
+    fn send_configuration(&mut self, sender: &MessageSender, effects: &mut EffectBuffer) {
         if let Some(text) = self.configuration.in_force() {
             let message = PeerMessage::ConfigurationPush(text.clone());
             effects.push(Effect::Send { to: sender.name.clone(), message });
         }
     }
 
-    /// A higher revision is in force: arbiters take it over, and the peers hear of it at once.
-    pub(crate) fn configuration_changed(&mut self, now: Moment, effects: &mut EffectBuffer) {
+    /// Applies a new revision of the configuration to the arbiters, and announces it to the peers
+    /// at once.
+    pub(crate) fn apply_configuration(&mut self, now: Moment, effects: &mut EffectBuffer) {
         let catalog = self.configuration.catalog();
         let scopes = catalog.scopes();
         for (scope, arbiter) in &mut self.arbiters {
@@ -271,11 +281,11 @@
                 arbiter.configure(catalog);
             }
         }
-        let gone: Vec<_> =
+        let removed: Vec<_> =
             self.arbiters.keys().filter(|scope| !scopes.contains(scope)).copied().collect();
-        for scope in gone {
+        for scope in removed {
             if let Some(mut arbiter) = self.arbiters.remove(&scope) {
-                for key in arbiter.dissolve() {
+                for key in arbiter.drain_waiting() {
                     let kind = crate::verdict::VerdictKind::Refuse(
                         RefuseReason::ServiceGone,
                         Duration::ZERO,
--- a/crates/ryetide-core/src/entry_resume.rs
+++ b/crates/ryetide-core/src/entry_resume.rs
@@ -1,4 +1,5 @@
-//! Streams that break or fall silent: the rest is asked for by request id, over a new connection.
+//! Resuming of answer streams that break or time out: the rest is requested by request id over a
+//! new connection.
 
 use std::time::Duration;
 
@@ -6,38 +7,39 @@
     chart::{RequestEvent, RequestState},
     effect::{Effect, EffectBuffer},
     entry::EntryCore,
-    entry_dispatch::{LATE_LIMIT, PIECE_SILENCE},
+    entry_dispatch::{LATE_ANSWER_GRACE, PIECE_TIMEOUT},
     event::{TargetOrder, UnknownReason},
     ids::{AttemptNumber, RequestSequence},
     units::Moment,
 };
 
-/// The first pause before a resume; it doubles with each resume that brings nothing.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
-/// Resumes in a row that may bring nothing.
-const RESUME_TRIES: u32 = 7;
+/// The delay before the first resume; it doubles with each resume that yields no new bytes.
+const FIRST_RESUME_DELAY: Duration = Duration::from_millis(50);
+/// The maximum number of consecutive resumes that yield no new bytes.
+const MAX_IDLE_RESUMES: u32 = 7;
 
 impl EntryCore {
+    /// Requests the rest of an answer on a newly opened connection.
     pub(crate) fn resume(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         effects: &mut EffectBuffer,
     ) {
-        let id = self.id_of(sequence);
+        let id = self.request_id(sequence);
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
         record.handle(RequestEvent::Connected);
         let (attempt, offset) = (record.attempt, record.received);
-        let wake = self.silence_end(now, sequence, PIECE_SILENCE);
+        let wake = self.idle_timeout_at(now, sequence, PIECE_TIMEOUT);
         self.requests.set_wake(sequence, wake);
         let order = TargetOrder::Resume { id, offset };
         effects.push(Effect::Permit { sequence, attempt, order });
     }
 
-    /// A stream broke or fell silent.
-    pub(crate) fn target_broken(
+    /// Handles a stream that broke or timed out.
+    pub(crate) fn handle_stream_broken(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -45,7 +47,7 @@
         effects: &mut EffectBuffer,
     ) {
         let resumes = self.options.switches.resume_only;
-        let Some(record) = self.current(sequence, attempt) else {
+        let Some(record) = self.current_attempt(sequence, attempt) else {
             return;
         };
         if std::mem::take(&mut record.connection_open) {
@@ -53,7 +55,7 @@
         }
         let engine = record.route.as_ref().is_some_and(|route| route.engine);
         if !engine {
-            self.lose_track(now, sequence, UnknownReason::TargetLost, effects);
+            self.finish_unknown(now, sequence, UnknownReason::TargetLost, effects);
             return;
         }
         if !resumes {
@@ -64,7 +66,8 @@
         self.schedule_resume(now, sequence, effects);
     }
 
-    /// What a careless client library does: sends the request again. Only mutation tests reach it.
+    /// Dispatches a request a second time, as a client library that retries blindly would. Only
+    /// mutation tests, which disable the `resume_only` safeguard, reach this code.
     fn dispatch_again(&mut self, sequence: RequestSequence, effects: &mut EffectBuffer) {
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
@@ -79,7 +82,8 @@
         effects.push(Effect::Connect { sequence, attempt, route });
     }
 
-    /// Sets the time of the next resume, or gives the answer up when the tries are used.
+    /// Schedules the next resume, or ends the request with "unknown" after too many resumes or too
+    /// long after the deadline.
     pub(crate) fn schedule_resume(
         &mut self,
         now: Moment,
@@ -90,14 +94,15 @@
             return;
         };
         record.idle_resumes += 1;
-        if record.idle_resumes > RESUME_TRIES || now > record.deadline + LATE_LIMIT {
-            self.lose_track(now, sequence, UnknownReason::TargetLost, effects);
+        if record.idle_resumes > MAX_IDLE_RESUMES || now > record.deadline + LATE_ANSWER_GRACE {
+            self.finish_unknown(now, sequence, UnknownReason::TargetLost, effects);
             return;
         }
-        let pause = RESUME_PAUSE * (1 << (record.idle_resumes - 1));
-        self.requests.set_wake(sequence, Some(now + pause));
+        let delay = FIRST_RESUME_DELAY * (1 << (record.idle_resumes - 1));
+        self.requests.set_wake(sequence, Some(now + delay));
     }
 
+    /// Opens a new connection to resume an answer on.
     pub(crate) fn start_resume(
         &mut self,
         now: Moment,
@@ -113,20 +118,21 @@
         record.attempt = AttemptNumber(record.attempt.0 + 1);
         record.connection_open = true;
         let attempt = record.attempt;
-        self.requests.set_wake(sequence, Some(now + PIECE_SILENCE));
+        self.requests.set_wake(sequence, Some(now + PIECE_TIMEOUT));
         effects.push(Effect::Connect { sequence, attempt, route });
     }
 
-    /// The target does not know the request: it may have run before the target forgot it.
-    pub(crate) fn resume_unknown(
+    /// Ends a request that its target no longer knows. It may have run before the target lost it,
+    /// so the outcome is unknown.
+    pub(crate) fn handle_resume_unknown(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         attempt: AttemptNumber,
         effects: &mut EffectBuffer,
     ) {
-        if self.current(sequence, attempt).is_some() {
-            self.lose_track(now, sequence, UnknownReason::TargetForgot, effects);
+        if self.current_attempt(sequence, attempt).is_some() {
+            self.finish_unknown(now, sequence, UnknownReason::TargetForgot, effects);
         }
     }
 }
--- a/crates/ryetide-core/src/entry_slot.rs
+++ b/crates/ryetide-core/src/entry_slot.rs
@@ -1,5 +1,5 @@
-//! Asking for slots: which data centre's arbiter, what to do when it is silent, and what its
-//! verdicts mean for the request.
+//! Slot requests of an entry VM: which data centre's arbiter to ask, what to do when it does not
+//! answer, and how its verdicts are applied to the request.
 
 use std::time::Duration;
 
@@ -21,19 +21,21 @@
     verdict::{ArbiterVerdict, AskKey, SlotAsk, VerdictKind},
 };
 
-/// An arbiter that has not answered an ask after this long is passed over: slow is worse than dead,
-/// and this is well under every tier's permitted wait.
-const GRANT_WAIT: Duration = Duration::from_millis(60);
-/// How long an arbiter that did not answer is passed over.
-const DISTRUST_SPAN: Duration = Duration::from_secs(1);
-/// What the way to another data centre counts against it.
-const REMOTE_CHARGE: Duration = Duration::from_millis(4);
-/// When to come back when no target was usable anywhere.
+/// How long to wait for an arbiter's answer before this VM uses its own share instead.
+///
+/// It is far below the wait that any tier permits. An arbiter that answers late delays requests
+/// more than one that is down, which is detected and replaced.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(60);
+/// How long an arbiter that did not answer in time is not asked.
+const EXCLUSION_SPAN: Duration = Duration::from_secs(1);
+/// The extra wait that a remote data centre is charged when scopes are compared.
+const REMOTE_PENALTY: Duration = Duration::from_millis(4);
+/// The retry delay when no data centre has a usable target.
 const NO_TARGET_RETRY: Duration = Duration::from_secs(2);
 
 impl EntryCore {
-    /// Asks for a slot at the scope that seems best among those that have not refused yet, or ends
-    /// the request when all have.
+    /// Asks for a slot at the best scope that has not refused the request yet, or ends the request
+    /// when all have refused.
     pub(crate) fn ask_for_slot(
         &mut self,
         now: Moment,
@@ -47,34 +49,39 @@
             return;
         };
         match self.elected.get(&scope).cloned().flatten() {
-            Some(name) if name == self.options.name => self.ask_own(now, sequence, scope, effects),
-            Some(name) if !self.is_distrusted(now, &name) => {
-                self.ask_peer(now, sequence, scope, name, effects);
+            Some(name) if name == self.options.name => {
+                self.ask_own_arbiter(now, sequence, scope, effects);
             }
-            _ => self.ask_own(now, sequence, scope, effects),
+            Some(name) if !self.is_excluded(now, &name) => {
+                self.ask_peer_arbiter(now, sequence, scope, name, effects);
+            }
+            _ => self.ask_own_arbiter(now, sequence, scope, effects),
         }
     }
 
-    fn is_distrusted(&self, now: Moment, name: &VmName) -> bool {
+    /// Returns whether a peer is unknown, or did not answer a slot request in time recently.
+    fn is_excluded(&self, now: Moment, name: &VmName) -> bool {
         self.peers.get(name).is_none_or(|peer| now < peer.distrusted_until)
     }
 
-    /// Chooses the scope with the least expected wait; its own data centre goes first among equals.
+    /// Chooses the scope with the shortest expected wait, and prefers usable scopes and this VM's
+    /// own data centre.
     fn choose_scope(&self, now: Moment, sequence: RequestSequence) -> Option<ScopeKey> {
         let record = self.requests.get(sequence)?;
         let own = DataCentreKey::of(&self.options.data_centre);
         let scopes = self.configuration.catalog().scopes_of(record.profile.service);
         let open = scopes.into_iter().filter(|scope| !record.refused_by.contains(scope));
-        let charge = |scope: &ScopeKey| {
+        let cost = |scope: &ScopeKey| {
             let down = self.scope_is_down(*scope);
             let remote = scope.data_centre != own;
-            let way = if remote { REMOTE_CHARGE } else { Duration::ZERO };
-            (down, self.scope_wait(now, *scope, record.profile.tier) + way, *scope)
+            let penalty = if remote { REMOTE_PENALTY } else { Duration::ZERO };
+            (down, self.scope_wait(now, *scope, record.profile.tier) + penalty, *scope)
         };
-        open.min_by_key(charge)
+        open.min_by_key(cost)
     }
 
-    /// The wait that the scope's arbiter tells of, or that this VM's own arbiter knows.
+    /// Returns the expected wait at a scope: from this VM's arbiter if it is elected, else as its
+    /// arbiter last reported, or zero without a report.
     fn scope_wait(&self, now: Moment, scope: ScopeKey, tier: TierRank) -> Duration {
         if self.is_elected(scope) {
             let arbiter = self.arbiters.get(&scope);
@@ -85,6 +92,7 @@
         Duration::from_millis(u64::from(wait.copied().unwrap_or(0)))
     }
 
+    /// Returns the load that the elected arbiter of a scope last reported in a heartbeat.
     fn load_of(&self, scope: ScopeKey) -> Option<&ScopeLoad> {
         let name = self.elected.get(&scope)?.as_ref()?;
         self.peers.get(name)?.loads.iter().find(|load| load.scope == scope)
@@ -98,7 +106,7 @@
         self.load_of(scope).is_some_and(|load| !load.usable)
     }
 
-    fn ask_peer(
+    fn ask_peer_arbiter(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -106,7 +114,7 @@
         name: VmName,
         effects: &mut EffectBuffer,
     ) {
-        let ask = AskRef { life: self.life(), sequence };
+        let ask = AskRef { life: self.incarnation_tag(), sequence };
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
@@ -123,20 +131,21 @@
             deadline_ms: util::millis(record.deadline.since(now)),
             waited_ms: util::millis(now.since(record.arrived)),
         });
-        let due = record.deadline.min(now + GRANT_WAIT);
+        let due = record.deadline.min(now + GRANT_TIMEOUT);
         self.requests.set_wake(sequence, Some(due));
         effects.push(Effect::Send { to: name, message });
     }
 
-    /// Asks this VM's own arbiter: the elected one, or one over its conservative share.
-    fn ask_own(
+    /// Asks this VM's own arbiter, which is either the elected one or one over a conservative
+    /// share.
+    fn ask_own_arbiter(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         scope: ScopeKey,
         effects: &mut EffectBuffer,
     ) {
-        let life = self.life();
+        let request_ref = AskRef { life: self.incarnation_tag(), sequence };
         self.ensure_arbiter(now, scope, effects);
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
@@ -144,7 +153,7 @@
         record.slot =
             Some(SlotClaim { scope, source: SlotSource::Own, acknowledged: true, target: None });
         let ask = SlotAsk {
-            key: AskKey { vm: self.options.name.clone(), ask: AskRef { life, sequence } },
+            key: AskKey { vm: self.options.name.clone(), ask: request_ref },
             profile: record.profile.clone(),
             deadline: record.deadline,
             waited: now.since(record.arrived),
@@ -155,12 +164,13 @@
         }
     }
 
-    /// Delivers the verdicts of this VM's arbiters: to its own requests, or to the peers that asked.
+    /// Applies the verdicts of this VM's arbiters to its own requests, and sends the others to the
+    /// peers that asked.
     pub(crate) fn deliver_verdicts(&mut self, now: Moment, effects: &mut EffectBuffer) {
         while !self.verdicts.is_empty() {
             for verdict in std::mem::take(&mut self.verdicts) {
                 if verdict.key.vm == self.options.name {
-                    self.take_verdict(now, verdict, effects);
+                    self.apply_verdict(now, verdict, effects);
                 } else {
                     let ask = verdict.key.ask;
                     let message = match verdict.kind {
@@ -177,22 +187,22 @@
         }
     }
 
-    fn take_verdict(&mut self, now: Moment, verdict: ArbiterVerdict, effects: &mut EffectBuffer) {
+    fn apply_verdict(&mut self, now: Moment, verdict: ArbiterVerdict, effects: &mut EffectBuffer) {
         let sequence = verdict.key.ask.sequence;
         match verdict.kind {
             VerdictKind::Grant(target) => {
-                self.granted(now, sequence, &SlotSource::Own, target, effects);
+                self.handle_grant(now, sequence, &SlotSource::Own, target, effects);
             }
             VerdictKind::Queued => {}
             VerdictKind::Refuse(reason, retry) => {
-                self.refused(now, sequence, &SlotSource::Own, (reason, retry), effects);
+                self.handle_refusal(now, sequence, &SlotSource::Own, (reason, retry), effects);
             }
         }
     }
 
-    /// An arbiter granted a slot: opens a connection, or gives the slot back when it is not wanted
-    /// any more.
-    pub(crate) fn granted(
+    /// Handles a granted slot: opens a connection to the target, or returns the slot if the request
+    /// no longer needs it.
+    pub(crate) fn handle_grant(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -203,9 +213,9 @@
         let slot = self.requests.get(sequence).and_then(|record| record.slot.as_ref());
         let asked = slot.filter(|slot| slot.source == *source);
         if asked.is_none_or(|slot| slot.target.is_some()) {
-            let is_double = asked.is_some_and(|slot| slot.target == Some(target));
-            if !is_double {
-                self.return_unwanted(now, sequence, source, effects);
+            let is_duplicate = asked.is_some_and(|slot| slot.target == Some(target));
+            if !is_duplicate {
+                self.return_unwanted_slot(now, sequence, source, effects);
             }
             return;
         }
@@ -223,7 +233,7 @@
             slot.acknowledged = true;
         }
         let Some(route) = rule else {
-            // The target left the configuration between the grant and now.
+            // The target was removed from the configuration after the arbiter granted it.
             self.release_slot(now, sequence, ReleaseOutcome::Unused, effects);
             self.ask_for_slot(now, sequence, effects);
             return;
@@ -240,16 +250,16 @@
         effects.push(Effect::Connect { sequence, attempt, route });
     }
 
-    /// Gives back a slot that nobody waits for any more: its request asked elsewhere meanwhile, or has
-    /// ended. Kept silent, it would be held until it counts as orphaned.
-    fn return_unwanted(
+    /// Returns a slot whose request has meanwhile asked another arbiter or ended. Otherwise the
+    /// arbiter would keep it in use until it is reclaimed as orphaned.
+    fn return_unwanted_slot(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         source: &SlotSource,
         effects: &mut EffectBuffer,
     ) {
-        let ask = AskRef { life: self.life(), sequence };
+        let ask = AskRef { life: self.incarnation_tag(), sequence };
         match source {
             SlotSource::Own => {
                 let key = AskKey { vm: self.options.name.clone(), ask };
@@ -259,7 +269,7 @@
             }
             SlotSource::Peer(name) => {
                 let service = self.requests.get(sequence).map(|record| record.profile.service);
-                for scope in self.scopes_ordered_by(name, service) {
+                for scope in self.scopes_arbitrated_by(name, service) {
                     let message = PeerMessage::Withdraw { ask, scope };
                     effects.push(Effect::Send { to: name.clone(), message });
                 }
@@ -267,15 +277,15 @@
         }
     }
 
-    /// Returns the scopes that a peer arbitrates, of one service or of all.
-    fn scopes_ordered_by(&self, name: &VmName, service: Option<ServiceKey>) -> Vec<ScopeKey> {
+    /// Returns the scopes that a peer arbitrates, of one service or of all services.
+    fn scopes_arbitrated_by(&self, name: &VmName, service: Option<ServiceKey>) -> Vec<ScopeKey> {
         let of_service = |scope: &ScopeKey| service.is_none_or(|key| scope.service == key);
-        let ordered = self.elected.iter().filter(|(_, elected)| elected.as_ref() == Some(name));
-        ordered.map(|(scope, _)| *scope).filter(of_service).collect()
+        let arbitrated = self.elected.iter().filter(|(_, elected)| elected.as_ref() == Some(name));
+        arbitrated.map(|(scope, _)| *scope).filter(of_service).collect()
     }
 
-    /// An arbiter refused: the next scope is asked, or the request ends when none is left.
-    pub(crate) fn refused(
+    /// Handles an arbiter's refusal: asks the next scope, or ends the request when none is left.
+    pub(crate) fn handle_refusal(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -292,23 +302,23 @@
         };
         record.slot = None;
         if reason == RefuseReason::NotArbiter {
-            self.reask_after_handover(now, sequence, &slot, effects);
+            self.ask_after_handover(now, sequence, &slot, effects);
             return;
         }
         if reason == RefuseReason::ShedBelow {
-            // Another data centre must not serve it either while its better has been refused.
+            // A request of a higher tier was refused, so no other data centre may serve this one.
             self.give_up(now, sequence, reason, Some(retry), effects);
             return;
         }
         record.refused_by.push(slot.scope);
-        let least = record.refusal.map_or(retry, |(_, known)| known.min(retry));
-        record.refusal = Some((reason, least));
+        let shortest = record.refusal.map_or(retry, |(_, known)| known.min(retry));
+        record.refusal = Some((reason, shortest));
         self.ask_for_slot(now, sequence, effects);
     }
 
-    /// The VM asked does not arbitrate the scope: the views differ. Until they agree, this VM's own
-    /// share is used.
-    fn reask_after_handover(
+    /// Handles a refusal from a VM that does not arbitrate the scope. A peer that refuses so sees a
+    /// different set of VMs; this VM uses its own share until both agree.
+    fn ask_after_handover(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -317,12 +327,13 @@
     ) {
         match &slot.source {
             SlotSource::Own => self.ask_for_slot(now, sequence, effects),
-            SlotSource::Peer(_) => self.ask_own(now, sequence, slot.scope, effects),
+            SlotSource::Peer(_) => self.ask_own_arbiter(now, sequence, slot.scope, effects),
         }
     }
 
-    /// An ask's time is over: its arbiter is silent, or the deadline has come.
-    pub(crate) fn ask_due(
+    /// Handles a slot request that timed out: its arbiter did not answer in time, or the deadline
+    /// has passed.
+    pub(crate) fn handle_slot_wait_timeout(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
@@ -346,15 +357,15 @@
             self.requests.set_wake(sequence, Some(deadline));
             return;
         }
-        self.peers.distrust(name, now + DISTRUST_SPAN);
+        self.peers.distrust(name, now + EXCLUSION_SPAN);
         effects.push(Effect::Note(Notice::ArbiterSilent(name.clone())));
         self.withdraw_ask(now, sequence, effects);
-        self.ask_own(now, sequence, slot.scope, effects);
+        self.ask_own_arbiter(now, sequence, slot.scope, effects);
     }
 
-    /// Takes an ask back, wherever it waits.
+    /// Withdraws the slot request of a request from the arbiter that it was sent to.
     fn withdraw_ask(&mut self, now: Moment, sequence: RequestSequence, effects: &mut EffectBuffer) {
-        let ask = AskRef { life: self.life(), sequence };
+        let ask = AskRef { life: self.incarnation_tag(), sequence };
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
@@ -364,6 +375,7 @@
         self.withdraw_from(now, ask, &slot, effects);
     }
 
+    /// Withdraws a slot request from the arbiter that `slot` names.
     fn withdraw_from(
         &mut self,
         now: Moment,
@@ -385,7 +397,7 @@
         }
     }
 
-    /// Gives a slot back to whoever orders it, or takes back an ask that has not led to one.
+    /// Returns a slot to its arbiter, or withdraws the slot request if no slot was granted.
     pub(crate) fn release_slot(
         &mut self,
         now: Moment,
@@ -393,7 +405,7 @@
         outcome: ReleaseOutcome,
         effects: &mut EffectBuffer,
     ) {
-        let ask = AskRef { life: self.life(), sequence };
+        let ask = AskRef { life: self.incarnation_tag(), sequence };
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
@@ -404,7 +416,7 @@
             self.withdraw_from(now, ask, &slot, effects);
             return;
         }
-        // What the target has said of itself goes before what became of the request.
+        // A notice from the target takes precedence over the outcome of the request.
         let outcome = match record.word {
             TargetWord { leaving: true, .. } => ReleaseOutcome::TargetLeaving,
             TargetWord { hold_off: Some(span), .. } => ReleaseOutcome::HeldOff(util::millis(span)),
@@ -436,6 +448,7 @@
     }
 }
 
+/// Returns the route to a target; `engine` says whether it is a model engine.
 pub(crate) fn route_to(rule: &TargetRule, engine: bool) -> TargetRoute {
     TargetRoute {
         key: TargetKey::of(&rule.name),
--- a/crates/ryetide-core/tests/arbiter.rs
+++ b/crates/ryetide-core/tests/arbiter.rs
@@ -273,7 +273,7 @@
 fn a_leaving_target_is_granted_to_nobody() {
     let mut bench = Bench::new(TEXT);
     let report = LoadReport { leaving: true, ..LoadReport::default() };
-    bench.arbiter.note_report(at(1), target("fast"), &report, &mut Vec::new());
+    bench.arbiter.record_report(at(1), target("fast"), &report, &mut Vec::new());
     let number = bench.ask(at(2), 0, 10, 10, 60_000);
     assert_eq!(bench.verdict(number), Some(&VerdictKind::Grant(target("slow"))));
     bench.arbiter.note_leaving(target("fast"), false, &mut Vec::new());
@@ -304,7 +304,7 @@
         bench.ask(at(1), 0, 10, 10, 60_000);
     }
     let report = LoadReport { age_ms: 1_000, running: 3, ..LoadReport::default() };
-    bench.arbiter.note_report(at(1_500), target("fast"), &report, &mut Vec::new());
+    bench.arbiter.record_report(at(1_500), target("fast"), &report, &mut Vec::new());
     let number = bench.ask(at(1_501), 0, 10, 10, 60_000);
     assert_eq!(bench.verdict(number), Some(&VerdictKind::Grant(target("fast"))));
 }
@@ -313,7 +313,7 @@
 fn work_that_others_gave_a_target_takes_up_its_slots() {
     let mut bench = Bench::new(TEXT);
     let report = LoadReport { age_ms: 100, running: 4, ..LoadReport::default() };
-    bench.arbiter.note_report(at(1_000), target("fast"), &report, &mut Vec::new());
+    bench.arbiter.record_report(at(1_000), target("fast"), &report, &mut Vec::new());
     let number = bench.ask(at(1_001), 0, 10, 10, 60_000);
     assert_eq!(bench.verdict(number), Some(&VerdictKind::Grant(target("slow"))));
     let later = bench.ask(at(5_000), 0, 10, 10, 60_000);
@@ -328,7 +328,7 @@
         bench.ask(at(1), 0, 10, 1_000, 3_000_000);
     }
     assert_eq!(bench.arbiter.held(), 8);
-    bench.arbiter.forget_vm(at(2), &VmName::from("e1"), &mut Vec::new());
+    bench.arbiter.remove_vm(at(2), &VmName::from("e1"), &mut Vec::new());
     assert_eq!((bench.arbiter.held(), bench.arbiter.waiting()), (0, 0));
 }
 
