--- a/crates/ryetide-core/src/arbiter.rs
+++ b/crates/ryetide-core/src/arbiter.rs
@@ -1,9 +1,10 @@
-//! The order and placement of one scope's requests: a service's targets in one data centre.
+//! The arbiter of a scope, which queues requests and grants them slots at the scope's targets.
 //!
-//! The entry VM that rendezvous hashing chooses runs the arbiter for all VMs; a VM that cannot
-//! reach it runs one of its own over a conservative share. Either way this is soft state: an
-//! arbiter that is wrong, doubled or freshly started costs quality, never safety, because only the
-//! entry VM that holds a caller dispatches, and at most once.
+//! A scope is one service's targets in one data centre. The entry VM that rendezvous hashing
+//! selects runs the arbiter for all VMs; a VM that cannot reach it runs its own over a conservative
+//! share. Either way this is soft state: an arbiter that has stale data, was just started or runs
+//! beside a second one makes scheduling worse but not unsafe, because only the entry VM that holds
+//! a caller's connection dispatches the request, and at most once.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,7 +24,7 @@
     limit_part::{self, TargetLimit},
     message::{AskProfile, RefuseReason, ReleaseMessage, ReleaseOutcome, ScopeLoad},
     output_guess::OutputGuess,
-    queue::{FairQueue, QueuePlace, QueueTicket},
+    queue::{FairQueue, QueuePosition, QueueTicket},
     retry::RetryPromise,
     safeguard::SafeguardSwitches,
     slot_ledger::{HeldSlot, SlotLedger},
@@ -33,29 +34,35 @@
     verdict::{ArbiterVerdict, AskKey, SlotAsk, VerdictKind},
 };
 
-/// The most prompt work at an engine ahead of a new grant, for all but the most urgent tier.
+/// The longest prefill backlog of an engine at which it is granted another request, for all but the
+/// most urgent tier.
 pub(crate) const BACKLOG_LIMIT: Duration = Duration::from_millis(100);
-/// The time that a request is taken to need when it waits for a limit and no speed is known.
+/// The least service time that is assumed for a request that waits for rate-limited targets.
 const MIN_LIMITED_WORK: Duration = Duration::from_millis(150);
-/// The most requests that may wait at one arbiter; beyond it the last in order is shed.
+/// The maximum number of requests that wait at one arbiter; beyond it, the last one in the queue is
+/// shed.
 const WAITING_LIMIT: usize = 8_192;
 
+/// A slot request that waits in the queue.
 #[derive(Debug)]
-pub(crate) struct WaitingAsk {
+pub(crate) struct QueuedRequest {
     pub(crate) profile: AskProfile,
-    pub(crate) place: QueuePlace,
+    pub(crate) position: QueuePosition,
+    /// The request is shed if it has no slot by then.
     pub(crate) latest_start: Moment,
     pub(crate) deadline: Moment,
 }
 
-/// What an arbiter needs to know of a tier.
+/// The settings of a tier that an arbiter uses.
 #[derive(Clone, Debug)]
 struct TierLimit {
+    /// How long a request of the tier may wait.
     wait: Duration,
+    /// The fraction of each target's slots that the tier may fill.
     fill: f64,
 }
 
-/// Orders and places the requests of one scope.
+/// Queues the slot requests of one scope and grants them slots.
 #[derive(Debug)]
 pub struct ScopeArbiter {
     scope: ScopeKey,
@@ -63,22 +70,27 @@
     tiers: Vec<TierLimit>,
     weights: BTreeMap<OrganisationKey, ShareWeight>,
     pub(crate) targets: BTreeMap<TargetKey, TargetModel>,
-    pub(crate) waiting: BTreeMap<AskKey, WaitingAsk>,
+    pub(crate) waiting: BTreeMap<AskKey, QueuedRequest>,
+    /// The waiting requests by their latest start, to find those that must be shed.
     pub(crate) by_latest_start: BTreeSet<(Moment, AskKey)>,
     pub(crate) queue: FairQueue<AskKey>,
     pub(crate) held: SlotLedger,
     pub(crate) hints: PrefixHints,
     pub(crate) output: OutputGuess,
+    /// The share of each target that this arbiter may grant, from 0 to 1.
     pub(crate) share: f64,
+    /// Nothing is granted before this time.
     pub(crate) grant_from: Moment,
     promise: RetryPromise,
-    /// When a request of each tier was last shed for load.
+    /// When a request of each tier was last shed because of load.
     last_shed: BTreeMap<TierRank, Moment>,
 }
 
 impl ScopeArbiter {
-    /// Creates an arbiter over `share` (0 to 1) of each of the scope's targets, which grants
-    /// nothing before `grant_from`: one that takes over first hears what is in use.
+    /// Creates an arbiter that may grant `share` (0 to 1) of each of the scope's targets.
+    ///
+    /// It grants nothing before `grant_from`: an arbiter that takes over a scope must first receive
+    /// the peers' reports of the slots in use.
     pub fn new(
         scope: ScopeKey,
         catalog: &ServiceCatalog,
@@ -107,12 +119,12 @@
         arbiter
     }
 
-    /// Takes over a changed configuration; what waits and what is held stays.
+    /// Applies a changed configuration. Waiting requests and granted slots are kept.
     pub fn configure(&mut self, catalog: &ServiceCatalog) {
         let limit = |tier: &TierRule| TierLimit { wait: tier.wait, fill: tier.fill };
         self.tiers = catalog.tiers().iter().map(limit).collect();
-        let shares = catalog.organisations().iter();
-        self.weights = shares.map(|(key, rule)| (*key, rule.share)).collect();
+        let organisations = catalog.organisations().iter();
+        self.weights = organisations.map(|(key, rule)| (*key, rule.share)).collect();
         let mut targets = BTreeMap::new();
         for rule in catalog.targets_of(self.scope) {
             let key = TargetKey::of(&rule.name);
@@ -121,8 +133,8 @@
             model.set_rule(rule.clone());
             targets.insert(key, model);
         }
-        for gone in self.targets.keys() {
-            self.hints.forget(*gone);
+        for removed in self.targets.keys() {
+            self.hints.forget(*removed);
         }
         self.targets = targets;
     }
@@ -132,7 +144,7 @@
         self.scope
     }
 
-    /// Returns whether any target may be granted, now or after a pause.
+    /// Returns whether any target can be granted, now or after a pause.
     pub fn has_usable_target(&self) -> bool {
         self.targets.values().any(TargetModel::is_usable)
     }
@@ -147,29 +159,29 @@
         self.held.len()
     }
 
-    /// Returns the models of the scope's targets.
+    /// Returns the estimates of the scope's targets.
     pub fn targets(&self) -> impl Iterator<Item = &TargetModel> {
         self.targets.values()
     }
 
-    /// Sets the part of each target that this arbiter may grant.
+    /// Sets the share (0 to 1) of each target that this arbiter may grant.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// Takes an ask: grants it, queues it, or refuses it at once when its refusal is known.
-    pub fn ask(
+    /// Handles a slot request: grants it, queues it, or refuses it at once if it cannot be served.
+    pub fn request_slot(
         &mut self,
         now: Moment,
-        ask: SlotAsk,
+        request: SlotAsk,
         rng: &mut impl Rng,
         verdicts: &mut Vec<ArbiterVerdict>,
     ) {
-        if self.waiting.contains_key(&ask.key) || self.held.contains(&ask.key) {
+        if self.waiting.contains_key(&request.key) || self.held.contains(&request.key) {
             return;
         }
-        let (key, tier) = (ask.key.clone(), ask.profile.tier);
-        if let Err(reason) = self.enqueue(now, ask) {
+        let (key, tier) = (request.key.clone(), request.profile.tier);
+        if let Err(reason) = self.enqueue(now, request) {
             self.refuse(now, key, (reason, tier), rng, verdicts);
             return;
         }
@@ -180,9 +192,9 @@
         }
     }
 
-    /// Puts an ask in line unless it is known already that it cannot be served in time.
-    fn enqueue(&mut self, now: Moment, ask: SlotAsk) -> Result<(), RefuseReason> {
-        let SlotAsk { key, profile, deadline, waited } = ask;
+    /// Queues a slot request unless it is certain that it cannot be served in time.
+    fn enqueue(&mut self, now: Moment, request: SlotAsk) -> Result<(), RefuseReason> {
+        let SlotAsk { key, profile, deadline, waited } = request;
         let tier = profile.tier;
         let limit = self.tiers.get(usize::from(tier.0)).ok_or(RefuseReason::ServiceGone)?;
         let budget = limit.wait.saturating_sub(waited);
@@ -192,9 +204,11 @@
         if !self.has_usable_target() {
             return Err(RefuseReason::NoTarget);
         }
-        // Held in line until then, its caller would be told the same at its end.
+        // No target accepts work before the permitted wait is over, so the request would only be
+        // refused later.
         let latest = deadline.min(now + budget);
-        if self.back_off_end(now).is_some_and(|until| until >= latest) || self.has_no_limit_share()
+        if self.backed_off_until(now).is_some_and(|until| until >= latest)
+            || self.has_no_limit_share()
         {
             return Err(RefuseReason::HeldOff);
         }
@@ -210,13 +224,14 @@
         }
         let wait =
             self.wait_behind(now, tier, self.queue.work_ahead_of(tier, profile.organisation));
-        // How long limits take is known from the limits alone. Granted at the end of its time, a request would use up what
-        // the target takes and never be sent.
+        // The wait for rate-limited targets follows from their limits, even if no speed is known.
+        // A request granted at the very end of its time would use up a request of the limit without
+        // being sent, so it needs a minimum of time for its work.
         let is_limited = self.rate_limited_wait(now, tier).is_some();
         let work = if is_limited { work.max(MIN_LIMITED_WORK) } else { work };
         if (speed_known || is_limited) && (wait > budget || wait + work > left) {
-            let first_in_line = self.queue.work_ahead_of(tier, profile.organisation).is_zero();
-            let unreachable = first_in_line && wait + work > left && wait <= budget;
+            let is_next = self.queue.work_ahead_of(tier, profile.organisation).is_zero();
+            let unreachable = is_next && wait + work > left && wait <= budget;
             return Err(if unreachable {
                 RefuseReason::DeadlineUnreachable
             } else {
@@ -232,19 +247,20 @@
             cost: need,
             work,
         };
-        let place = self.queue.push(key.clone(), &ticket);
+        let position = self.queue.push(key.clone(), &ticket);
         self.by_latest_start.insert((latest_start, key.clone()));
-        self.waiting.insert(key, WaitingAsk { profile, place, latest_start, deadline });
+        self.waiting.insert(key, QueuedRequest { profile, position, latest_start, deadline });
         Ok(())
     }
 
-    /// Returns whether a request of a higher tier was shed here after one of `tier` arrived, which
-    /// may have waited at another scope meanwhile: served now, it would have gone before its better.
+    /// Returns whether a request of a higher tier was shed here after a request of `tier` arrived
+    /// at its entry VM at `arrived`. The latter may have waited at another scope meanwhile; if it
+    /// were granted now, a lower tier would be served although a higher one was refused.
     fn is_below_shed_request(&self, arrived: Moment, tier: TierRank) -> bool {
         self.last_shed.range(..tier).any(|(_, shed)| *shed > arrived)
     }
 
-    /// Sheds the last in order while too many wait.
+    /// Sheds requests from the end of the queue while too many wait.
     fn shed_overflow(
         &mut self,
         now: Moment,
@@ -260,8 +276,9 @@
         }
     }
 
-    /// Refuses `key`. When it is shed for load, everything that waits in lower tiers is shed with
-    /// it: otherwise a caller would see urgent work refused while routine work is served after it.
+    /// Refuses the request `key`. If it is shed because of load, all waiting requests of lower
+    /// tiers are shed too; otherwise urgent work would be refused while less urgent work is served
+    /// later.
     fn refuse(
         &mut self,
         now: Moment,
@@ -280,6 +297,7 @@
         }
     }
 
+    /// Refuses the request `key` with a retry delay.
     fn refuse_one(
         &mut self,
         now: Moment,
@@ -293,57 +311,62 @@
         let work = self.held.mean_remaining(now) / slots.max(1);
         let mut retry = self.promise.next(now, backlog, work, rng);
         if reason == RefuseReason::HeldOff {
-            let held = self.back_off_end(now).map_or(Duration::ZERO, |until| until.since(now));
-            retry = retry.max(held);
+            let back_off =
+                self.backed_off_until(now).map_or(Duration::ZERO, |until| until.since(now));
+            retry = retry.max(back_off);
         }
         verdicts.push(ArbiterVerdict { key, kind: VerdictKind::Refuse(reason, retry) });
     }
 
-    /// Tells which limits targets have named, and the part of them that may be granted here; nothing where another arbiter
-    /// has them whole.
-    pub fn set_limits(&mut self, now: Moment, limits: &LimitBook, part: Option<f64>) {
+    /// Sets the rate limits that targets announced, and the share (0 to 1) of them that this
+    /// arbiter may grant, which is `None` if another arbiter grants all of them.
+    pub fn set_limits(&mut self, now: Moment, limits: &LimitBook, share: Option<f64>) {
         for (key, target) in &mut self.targets {
             match limits.rate(*key) {
                 Some(rate) => {
-                    target.limit_mut().set(now, part.map(|part| part * rate.per_second()));
+                    target.limit_mut().set(now, share.map(|share| share * rate.per_second()));
                 }
                 None => *target.limit_mut() = TargetLimit::None,
             }
         }
     }
 
-    /// Whether all targets have named limits of which another arbiter has all.
+    /// Returns whether every usable target has a rate limit and another arbiter grants all of it.
     fn has_no_limit_share(&self) -> bool {
         self.usable().all(|target| *target.limit() == TargetLimit::Elsewhere)
     }
 
-    /// The time until those that wait in `tier` and before it are granted, where all targets have named limits.
+    /// Returns the time until all waiting requests of `tier` and more urgent tiers are granted
+    /// under the targets' rate limits, or `None` unless every usable target has a rate limit.
     fn rate_limited_wait(&self, now: Moment, tier: TierRank) -> Option<Duration> {
         let is_limited = self.usable().all(|target| *target.limit() != TargetLimit::None);
         if !is_limited || !self.has_usable_target() {
             return None;
         }
-        let ahead = self.waiting.values().filter(|ask| ask.profile.tier <= tier).count();
-        let first = self.back_off_end(now).map_or(Duration::ZERO, |until| until.since(now));
+        let ahead = self.waiting.values().filter(|request| request.profile.tier <= tier).count();
+        let first = self.backed_off_until(now).map_or(Duration::ZERO, |until| until.since(now));
         Some(first + limit_part::time_for(ahead, self.usable().map(TargetModel::limit)))
     }
 
-    /// Returns when the first of the targets wants work again, where all that stay want none.
-    fn back_off_end(&self, now: Moment) -> Option<Moment> {
-        let held = self.usable().map(|target| Some(target.held_until(now)).filter(|at| *at > now));
-        held.collect::<Option<Vec<Moment>>>()?.into_iter().min()
+    /// Returns when the first usable target accepts work again, or `None` unless all of them
+    /// request a back-off or have used up their rate limits.
+    fn backed_off_until(&self, now: Moment) -> Option<Moment> {
+        let ends = self.usable().map(|target| Some(target.held_until(now)).filter(|at| *at > now));
+        ends.collect::<Option<Vec<Moment>>>()?.into_iter().min()
     }
 
-    /// Takes an ask back: its caller has gone, or it asks elsewhere.
+    /// Withdraws a slot request, and frees the slot if one was granted. The request no longer needs
+    /// it because its caller is gone or it has asked another arbiter.
     pub fn withdraw(&mut self, now: Moment, key: &AskKey, verdicts: &mut Vec<ArbiterVerdict>) {
         self.remove_waiting(key);
         if let Some(slot) = self.held.take(key) {
-            self.free_slot(now, &slot);
+            self.release_at_target(now, &slot);
         }
         self.grant_waiting(now, verdicts);
     }
 
-    /// Takes a slot back and learns from what was observed.
+    /// Frees a slot that an entry VM returns, and updates the target's estimates and state with the
+    /// reported outcome.
     pub fn release(
         &mut self,
         now: Moment,
@@ -356,7 +379,7 @@
         let Some(slot) = self.held.take(&key) else {
             return;
         };
-        self.free_slot(now, &slot);
+        self.release_at_target(now, &slot);
         if let Some(target) = self.targets.get_mut(&slot.target) {
             let name = target.rule().name.clone();
             match message.outcome {
@@ -364,8 +387,14 @@
                     let first = Duration::from_millis(u64::from(message.first_piece_ms));
                     let total = Duration::from_millis(u64::from(message.total_ms));
                     target.note_answer();
-                    let own = first.saturating_sub(slot.backlog);
-                    target.learn(slot.prompt, message.output, own, total - first.min(total) + own);
+                    // The time to the first piece, without the wait for earlier prompts.
+                    let prefill = first.saturating_sub(slot.backlog);
+                    target.learn(
+                        slot.prompt,
+                        message.output,
+                        prefill,
+                        total - first.min(total) + prefill,
+                    );
                     self.output.learn(slot.output_limit, message.output);
                 }
                 ReleaseOutcome::ConnectFailed => {
@@ -388,7 +417,7 @@
         self.grant_waiting(now, verdicts);
     }
 
-    /// Notes a slot that is in use although this arbiter did not grant it.
+    /// Records a slot that is in use although this arbiter did not grant it.
     pub fn record_held_slot(
         &mut self,
         now: Moment,
@@ -402,10 +431,10 @@
         }
         self.remove_waiting(&key);
         let started = now.before(running);
-        self.hold(now, started, key, target, profile);
+        self.reserve_slot(now, started, key, target, profile);
     }
 
-    /// Takes a target's load report.
+    /// Records a target's load report.
     pub fn record_report(
         &mut self,
         now: Moment,
@@ -424,7 +453,7 @@
         }
     }
 
-    /// Notes that a target leaves, or that it stays after all.
+    /// Sets whether a target is leaving.
     pub fn note_leaving(&mut self, target: TargetKey, leaving: bool, notices: &mut Vec<Notice>) {
         let Some(model) = self.targets.get_mut(&target) else {
             return;
@@ -435,7 +464,7 @@
         }
     }
 
-    /// Forgets everything that a VM asked for or held: it died, or started anew.
+    /// Removes all waiting requests and slots of a VM that died or restarted.
     pub fn remove_vm(&mut self, now: Moment, vm: &VmName, verdicts: &mut Vec<ArbiterVerdict>) {
         let waiting: Vec<AskKey> =
             self.waiting.keys().filter(|key| key.vm == *vm).cloned().collect();
@@ -444,13 +473,13 @@
         }
         for key in self.held.of_vm(vm) {
             if let Some(slot) = self.held.take(&key) {
-                self.free_slot(now, &slot);
+                self.release_at_target(now, &slot);
             }
         }
         self.grant_waiting(now, verdicts);
     }
 
-    /// Returns every waiting request and empties the line, for a new arbiter to take.
+    /// Empties the queue and returns all waiting requests, so that they can ask the new arbiter.
     pub fn drain_waiting(&mut self) -> Vec<AskKey> {
         let keys: Vec<AskKey> = self.waiting.keys().cloned().collect();
         for key in &keys {
@@ -459,15 +488,15 @@
         keys
     }
 
-    /// Does what has fallen due: sheds requests that can no longer be served in time, takes back
-    /// orphaned slots, and grants what can be granted.
+    /// Sheds requests that can no longer be served in time, reclaims orphaned slots, and grants all
+    /// requests that can be granted.
     pub fn advance(&mut self, now: Moment, rng: &mut impl Rng, verdicts: &mut Vec<ArbiterVerdict>) {
         self.grant_waiting(now, verdicts);
         while let Some((latest_start, key)) = self.by_latest_start.first().cloned() {
             if latest_start >= now {
                 break;
             }
-            let tier = self.waiting.get(&key).map_or(TierRank(0), |ask| ask.profile.tier);
+            let tier = self.waiting.get(&key).map_or(TierRank(0), |request| request.profile.tier);
             self.remove_waiting(&key);
             self.refuse(now, key, (RefuseReason::Shed, tier), rng, verdicts);
         }
@@ -486,11 +515,11 @@
         let pause = pauses.filter(|end| *end > now).min();
         let backlogs = self.targets.values().map(|target| target.prefill_backlog(now));
         let backlog = backlogs.filter(|backlog| *backlog > BACKLOG_LIMIT).min();
-        let room = backlog.map(|backlog| now + (backlog - BACKLOG_LIMIT));
-        [expiry, start, pause, room].into_iter().flatten().min()
+        let drained = backlog.map(|backlog| now + (backlog - BACKLOG_LIMIT));
+        [expiry, start, pause, drained].into_iter().flatten().min()
     }
 
-    /// Returns the scope's load, or nothing while it is idle and whole.
+    /// Returns the scope's load, or `None` while it has a usable target and no request would wait.
     pub fn load(&self, now: Moment) -> Option<ScopeLoad> {
         let usable = self.has_usable_target();
         let ranks = 0..self.tiers.len() as u8;
@@ -500,12 +529,14 @@
         (!idle).then_some(ScopeLoad { scope: self.scope, usable, waits_ms })
     }
 
-    /// Returns the time a new request of `tier` would wait: zero when a slot is free for it, or
-    /// else the expected time to the next free slot and then the work ahead spread over all slots.
+    /// Returns how long a new request of `tier` is expected to wait: not at all if a slot is free
+    /// for it, else until the next slot is free and the work ahead of it, spread over all slots, is
+    /// done.
     pub fn expected_wait(&self, now: Moment, tier: TierRank) -> Duration {
         self.wait_behind(now, tier, self.queue.work_ahead(tier))
     }
 
+    /// Returns the expected wait of a request of `tier` behind `ahead` of queued work.
     fn wait_behind(&self, now: Moment, tier: TierRank, ahead: Duration) -> Duration {
         if let Some(wait) = self.rate_limited_wait(now, tier) {
             return wait;
@@ -521,31 +552,36 @@
         next_free + ahead / slots.max(1)
     }
 
+    /// Returns the targets that can be granted, now or after a pause.
     pub(crate) fn usable(&self) -> impl Iterator<Item = &TargetModel> {
         self.targets.values().filter(|target| target.is_usable())
     }
 
+    /// Returns the fraction of each target's slots that `tier` may fill.
     pub(crate) fn fill_of(&self, tier: TierRank) -> f64 {
         self.tiers.get(usize::from(tier.0)).map_or(1.0, |limit| limit.fill)
     }
 
-    fn free_slot(&mut self, now: Moment, slot: &HeldSlot) {
+    /// Frees a slot at its target.
+    fn release_at_target(&mut self, now: Moment, slot: &HeldSlot) {
         if let Some(target) = self.targets.get_mut(&slot.target) {
             target.release(now, slot.tokens);
         }
     }
 
+    /// Frees the slots whose end should have been reported long ago.
     fn reclaim_orphans(&mut self, now: Moment) {
         for slot in self.held.take_orphans(now) {
-            self.free_slot(now, &slot);
+            self.release_at_target(now, &slot);
         }
     }
 
+    /// Removes a request from the queue without a verdict.
     fn remove_waiting(&mut self, key: &AskKey) {
-        let Some(ask) = self.waiting.remove(key) else {
+        let Some(request) = self.waiting.remove(key) else {
             return;
         };
-        self.queue.remove(ask.place);
-        self.by_latest_start.remove(&(ask.latest_start, key.clone()));
+        self.queue.remove(request.position);
+        self.by_latest_start.remove(&(request.latest_start, key.clone()));
     }
 }
--- a/crates/ryetide-core/src/arbiter_placing.rs
+++ b/crates/ryetide-core/src/arbiter_placing.rs
@@ -1,4 +1,4 @@
-//! Which of an arbiter's waiting requests is granted next, and at which target.
+//! Selection of the waiting request that an arbiter grants next, and of its target.
 
 use std::time::Duration;
 
@@ -12,27 +12,29 @@
     verdict::{ArbiterVerdict, AskKey, VerdictKind},
 };
 
-/// How many requests near the front of a tier are tried for a free target.
+/// The maximum number of requests at the front of a tier that are tried for a free target.
 const FRONT_LIMIT: usize = 16;
 
 impl ScopeArbiter {
-    /// Grants while something near the front of the first tier that waits can be placed.
+    /// Grants requests near the front of the most urgent waiting tier while a target can take one.
     ///
-    /// Within that tier a request may pass another that no free target would serve in time. A lower
-    /// tier passes nobody: a request that would fit must not take the slot its better waits for.
+    /// Within that tier, a request may overtake one that no free target would serve in time. Lower
+    /// tiers are not considered: a request that fits now must not take the slot that a more urgent
+    /// request waits for.
     pub(crate) fn grant_waiting(&mut self, now: Moment, verdicts: &mut Vec<ArbiterVerdict>) {
         if now < self.grant_from {
             return;
         }
         while let Some((key, target)) = self.next_placement(now) {
-            let Some(ask) = self.waiting.remove(&key) else { return };
-            self.queue.serve(ask.place);
-            self.by_latest_start.remove(&(ask.latest_start, key.clone()));
-            self.hold(now, now, key.clone(), target, &ask.profile);
+            let Some(request) = self.waiting.remove(&key) else { return };
+            self.queue.serve(request.position);
+            self.by_latest_start.remove(&(request.latest_start, key.clone()));
+            self.reserve_slot(now, now, key.clone(), target, &request.profile);
             verdicts.push(ArbiterVerdict { key, kind: VerdictKind::Grant(target) });
         }
     }
 
+    /// Returns the request to grant next and its target.
     fn next_placement(&mut self, now: Moment) -> Option<(AskKey, TargetKey)> {
         let (_, tier) = self.queue.peek()?;
         let open = self.open_targets(now, tier);
@@ -40,28 +42,32 @@
             return None;
         }
         for key in self.queue.front(FRONT_LIMIT) {
-            let Some(ask) = self.waiting.get(&key) else { continue };
-            if let Some(target) = self.place(now, &open, &ask.profile, ask.deadline) {
+            let Some(request) = self.waiting.get(&key) else { continue };
+            if let Some(target) = self.choose_target(now, &open, &request.profile, request.deadline)
+            {
                 return Some((key, target));
             }
         }
         None
     }
 
-    /// Returns the targets that have room for a request of `tier`, whatever its size. While all are
-    /// full, which is when most asks come, this one look is all that an ask costs.
+    /// Returns the targets with a free slot and a short enough prefill backlog for a request of
+    /// `tier`, whatever its size.
+    ///
+    /// Most slot requests come while all targets are full; then this check is all that one costs.
     fn open_targets(&mut self, now: Moment, tier: TierRank) -> Vec<TargetKey> {
         let (fill, share) = (self.fill_of(tier), self.share);
         let backlog_limit = self.backlog_limit(tier);
-        let has_room = |target: &mut TargetModel| {
+        let is_open = |target: &mut TargetModel| {
             target.has_slot(now, fill, share) && target.prefill_backlog(now) <= backlog_limit
         };
         let targets = self.targets.values_mut();
-        targets.filter_map(|target| has_room(target).then(|| target.key())).collect()
+        targets.filter_map(|target| is_open(target).then(|| target.key())).collect()
     }
 
-    /// Chooses the open target with the least score that holds the request and would end in time.
-    fn place(
+    /// Chooses the open target with the lowest score among those that have enough tokens free for
+    /// the request and are expected to complete it before its deadline.
+    fn choose_target(
         &self,
         now: Moment,
         open: &[TargetKey],
@@ -81,14 +87,17 @@
         candidates.min().map(|(_, key)| key)
     }
 
-    /// The most prompt work that may be ahead of a new grant. Engines take prompts in order and do
-    /// not preempt, so for all but the most urgent tier the line is kept here, where it can still be
-    /// passed: a long drawing more at the engine would hold up every colour check behind it.
+    /// Returns the longest prefill backlog of a target at which a request of `tier` is granted.
+    ///
+    /// Engines process prompts in order and do not preempt them. All tiers but the most urgent one
+    /// therefore queue here, where an urgent request can still overtake them: another long prompt
+    /// at the engine would delay every short urgent request behind it.
     fn backlog_limit(&self, tier: TierRank) -> Duration {
         if tier == TierRank(0) { Duration::MAX } else { BACKLOG_LIMIT }
     }
 
-    pub(crate) fn hold(
+    /// Reserves a slot at a target, and records it as in use since `started`.
+    pub(crate) fn reserve_slot(
         &mut self,
         now: Moment,
         started: Moment,
@@ -99,7 +108,7 @@
         let tokens = self.tokens_needed(profile);
         let output = self.expected_output(profile);
         let saved = self.hints.savings(now, &profile.prefixes).of(target);
-        // A prompt that was partly in the cache teaches only by what was worked on.
+        // Only the uncached part of a prompt takes prefill time, so speeds are learned from that.
         let prefill = Tokens(profile.prompt.0.saturating_sub(saved.0));
         let Some(model) = self.targets.get_mut(&target) else { return };
         let expected_end = started + model.service_time(now, prefill, output);
@@ -112,15 +121,17 @@
         self.held.insert(key, slot);
     }
 
+    /// Returns the number of tokens that the request is expected to generate.
     fn expected_output(&self, profile: &AskProfile) -> Tokens {
         self.output.expected(profile.output_limit)
     }
 
+    /// Returns the number of tokens that a target must have free for the request.
     pub(crate) fn tokens_needed(&self, profile: &AskProfile) -> Tokens {
         Tokens(profile.prompt.0 + self.expected_output(profile).0)
     }
 
-    /// The service time at the fastest usable target.
+    /// Returns the expected service time at the fastest usable target.
     pub(crate) fn expected_service(&self, now: Moment, profile: &AskProfile) -> Duration {
         let output = self.expected_output(profile);
         let times = self.usable().map(|target| target.service_time(now, profile.prompt, output));
--- a/crates/ryetide-core/src/entry_peer.rs
+++ b/crates/ryetide-core/src/entry_peer.rs
@@ -31,7 +31,9 @@
             PeerMessage::Heartbeat(heartbeat) => {
                 self.handle_heartbeat(now, sender, heartbeat, effects);
             }
-            PeerMessage::Ask(ask) => self.handle_slot_request(now, sender, ask, effects),
+            PeerMessage::Ask(request) => {
+                self.handle_slot_request(now, sender, request, effects);
+            }
             PeerMessage::Withdraw { ask, scope } => {
                 let key = AskKey { vm: sender.name.clone(), ask };
                 if let Some(arbiter) = self.arbiters.get_mut(&scope) {
@@ -175,13 +177,13 @@
         &mut self,
         now: Moment,
         sender: &MessageSender,
-        ask: AskMessage,
+        request: AskMessage,
         effects: &mut EffectBuffer,
     ) {
-        let scope = message::scope_of(ask.profile.service, ask.data_centre);
+        let scope = message::scope_of(request.profile.service, request.data_centre);
         if !self.is_elected(scope) {
             let refuse =
-                RefuseMessage { ask: ask.ask, reason: RefuseReason::NotArbiter, retry_ms: 0 };
+                RefuseMessage { ask: request.ask, reason: RefuseReason::NotArbiter, retry_ms: 0 };
             let message = PeerMessage::Refuse(refuse);
             effects.push(Effect::Send { to: sender.name.clone(), message });
             return;
@@ -190,13 +192,13 @@
         let Some(arbiter) = self.arbiters.get_mut(&scope) else {
             return;
         };
-        let slot_ask = SlotAsk {
-            key: AskKey { vm: sender.name.clone(), ask: ask.ask },
-            profile: ask.profile,
-            deadline: now + Duration::from_millis(u64::from(ask.deadline_ms)),
-            waited: Duration::from_millis(u64::from(ask.waited_ms)),
+        let slot_request = SlotAsk {
+            key: AskKey { vm: sender.name.clone(), ask: request.ask },
+            profile: request.profile,
+            deadline: now + Duration::from_millis(u64::from(request.deadline_ms)),
+            waited: Duration::from_millis(u64::from(request.waited_ms)),
         };
-        arbiter.ask(now, slot_ask, &mut self.rng, &mut self.verdicts);
+        arbiter.request_slot(now, slot_request, &mut self.rng, &mut self.verdicts);
     }
 
     /// Handles a slot that a peer returned.
--- a/crates/ryetide-core/src/entry_slot.rs
+++ b/crates/ryetide-core/src/entry_slot.rs
@@ -152,7 +152,7 @@
         };
         record.slot =
             Some(SlotClaim { scope, source: SlotSource::Own, acknowledged: true, target: None });
-        let ask = SlotAsk {
+        let request = SlotAsk {
             key: AskKey { vm: self.options.name.clone(), ask: request_ref },
             profile: record.profile.clone(),
             deadline: record.deadline,
@@ -160,7 +160,7 @@
         };
         self.requests.set_wake(sequence, None);
         if let Some(arbiter) = self.arbiters.get_mut(&scope) {
-            arbiter.ask(now, ask, &mut self.rng, &mut self.verdicts);
+            arbiter.request_slot(now, request, &mut self.rng, &mut self.verdicts);
         }
     }
 
--- a/crates/ryetide-core/src/slot_ledger.rs
+++ b/crates/ryetide-core/src/slot_ledger.rs
@@ -1,4 +1,4 @@
-//! The slots that an arbiter has granted and not got back.
+//! The slots of an arbiter that are in use.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,9 +8,9 @@
     verdict::AskKey,
 };
 
-/// A slot whose end was never reported is taken back this long after its expected end.
+/// How long after its expected end a slot is reclaimed if its end was never reported.
 const ORPHAN_GRACE: Duration = Duration::from_secs(30);
-/// How often orphaned slots are looked for.
+/// How often orphaned slots are searched for.
 const ORPHAN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A slot in use.
@@ -21,66 +21,66 @@
     pub(crate) prompt: Tokens,
     pub(crate) output_limit: Tokens,
     pub(crate) expected_end: Moment,
-    /// The prompts that were to be worked on before this one.
+    /// The target's prefill backlog when the slot was granted.
     pub(crate) backlog: Duration,
 }
 
-/// All slots in use, by the asks that they were granted to.
+/// All slots in use, by the slot request that each was granted for.
 #[derive(Debug)]
 pub(crate) struct SlotLedger {
     slots: BTreeMap<AskKey, HeldSlot>,
-    /// Sum of the expected ends, for the mean remaining time.
-    ends_sum: u128,
-    orphans_sought: Moment,
+    /// The sum of the expected ends, to compute the mean remaining time.
+    expected_end_sum: u128,
+    last_orphan_search: Moment,
 }
 
 impl SlotLedger {
-    /// Creates an empty ledger, whose orphans are looked for from `now` on.
+    /// Creates an empty ledger that first searches for orphans one interval after `now`.
     pub(crate) fn new(now: Moment) -> Self {
-        Self { slots: BTreeMap::new(), ends_sum: 0, orphans_sought: now }
+        Self { slots: BTreeMap::new(), expected_end_sum: 0, last_orphan_search: now }
     }
 
-    /// Returns the number of slots.
+    /// Returns the number of slots in use.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Returns whether an ask holds a slot.
+    /// Returns whether a slot is in use for this slot request.
     pub(crate) fn contains(&self, key: &AskKey) -> bool {
         self.slots.contains_key(key)
     }
 
-    /// Adds a slot for an ask that holds none.
+    /// Adds a slot for a request that has none.
     pub(crate) fn insert(&mut self, key: AskKey, slot: HeldSlot) {
-        self.ends_sum += u128::from(slot.expected_end.0);
+        self.expected_end_sum += u128::from(slot.expected_end.0);
         self.slots.insert(key, slot);
     }
 
-    /// Takes an ask's slot out.
+    /// Removes and returns the slot of a request.
     pub(crate) fn take(&mut self, key: &AskKey) -> Option<HeldSlot> {
         let slot = self.slots.remove(key)?;
-        self.ends_sum -= u128::from(slot.expected_end.0);
+        self.expected_end_sum -= u128::from(slot.expected_end.0);
         Some(slot)
     }
 
-    /// Returns the asks of a VM that hold slots.
+    /// Returns the requests of a VM that have slots.
     pub(crate) fn of_vm(&self, vm: &VmName) -> Vec<AskKey> {
         self.slots.keys().filter(|key| key.vm == *vm).cloned().collect()
     }
 
-    /// Returns the mean time to the expected ends.
+    /// Returns the time until the mean of the expected ends, or zero if that has passed.
     pub(crate) fn mean_remaining(&self, now: Moment) -> Duration {
-        let mean_end = self.ends_sum.checked_div(self.slots.len() as u128).unwrap_or(0);
+        let mean_end = self.expected_end_sum.checked_div(self.slots.len() as u128).unwrap_or(0);
         Moment(u64::try_from(mean_end).unwrap_or(u64::MAX)).since(now)
     }
 
-    /// Takes out the slots whose ends should have been reported long ago; looks for them once in a
-    /// while.
+    /// Removes and returns the slots whose end should have been reported long ago. Searches at most
+    /// once per interval.
     pub(crate) fn take_orphans(&mut self, now: Moment) -> Vec<HeldSlot> {
-        if now.since(self.orphans_sought) < ORPHAN_INTERVAL {
+        if now.since(self.last_orphan_search) < ORPHAN_INTERVAL {
             return Vec::new();
         }
-        self.orphans_sought = now;
+        self.last_orphan_search = now;
         let due = |slot: &HeldSlot| now.since(slot.expected_end) > ORPHAN_GRACE;
         let orphans: Vec<AskKey> =
             self.slots.iter().filter(|(_, slot)| due(slot)).map(|(key, _)| key.clone()).collect();
--- a/crates/ryetide-core/tests/queue.rs
+++ b/crates/ryetide-core/tests/queue.rs
@@ -135,5 +135,5 @@
         queue.push(organisation, &ticket(0, organisation));
         queue.pop();
     }
-    assert!(queue.organisations_held() <= 2, "held {}", queue.organisations_held());
+    assert!(queue.tracked_organisations() <= 2, "held {}", queue.tracked_organisations());
 }
