--- a/crates/ryetide-core/tests/arbiter.rs
+++ b/crates/ryetide-core/tests/arbiter.rs
@@ -1,4 +1,4 @@
-//! One arbiter's decisions: order, placement, refusals.
+//! Tests of an arbiter's decisions: order, placement, and refusals.
 
 use std::time::Duration;
 
@@ -52,14 +52,14 @@
 
 impl Bench {
     fn new(text: &str) -> Self {
-        let catalog = ServiceCatalog::parse(text).expect("a sound text");
+        let catalog = ServiceCatalog::parse(text).expect("the services text should be valid");
         let scope = catalog.scopes()[0];
         let switches = SafeguardSwitches::default();
         let arbiter = ScopeArbiter::new(scope, &catalog, 1.0, Moment(0), switches);
         Self { arbiter, rng: SmallRng::seed_from_u64(1), verdicts: Vec::new(), next: 0 }
     }
 
-    /// Asks and returns the request's number.
+    /// Requests a slot for the heavy organisation and returns the request's number.
     fn ask(&mut self, now: Moment, tier: u8, prompt: u64, output: u64, deadline: u64) -> u64 {
         self.ask_as("heavy", now, tier, (prompt, output), deadline)
     }
@@ -135,40 +135,40 @@
     assert_eq!(bench.verdict(number), Some(&VerdictKind::Grant(target("fast"))));
 }
 
-/// A caller's drawing is granted to a slow target that cannot finish it in time, and comes late.
-/// The fast target is full; the slow one is free, but would take 11 s of the 6 s that are left.
-/// Placement must leave it in line for the fast one.
+/// Guards against answers that come late because a request is granted a target that cannot complete
+/// it in time. The fast target is full; the slow one is free, but would need 11 s while 6 s are
+/// left. The request must stay queued for the fast one.
 #[test]
-fn a_target_that_would_end_too_late_is_passed_over() {
+fn a_target_that_would_miss_the_deadline_is_not_granted() {
     let mut bench = Bench::new(TEXT);
     let first: Vec<u64> = (0..4).map(|_| bench.ask(at(1), 0, 10, 100, 1_500)).collect();
     for number in &first {
         assert_eq!(bench.verdict(*number), Some(&VerdictKind::Grant(target("fast"))));
     }
-    let drawing = bench.ask(at(2), 0, 1_000, 100, 6_000);
-    assert_eq!(bench.verdict(drawing), Some(&VerdictKind::Queued));
+    let long = bench.ask(at(2), 0, 1_000, 100, 6_000);
+    assert_eq!(bench.verdict(long), Some(&VerdictKind::Queued));
     bench.release(at(500), first[0], ReleaseOutcome::Completed);
-    assert_eq!(bench.verdict(drawing), Some(&VerdictKind::Grant(target("fast"))));
+    assert_eq!(bench.verdict(long), Some(&VerdictKind::Grant(target("fast"))));
 }
 
-/// An urgent colour check waits seconds for its first token behind drawings already at the engine.
-/// Engines take prompts in order and do not preempt, so a second drawing granted at once would put
-/// its whole prompt before every later check. It must wait here, where it can be passed.
+/// Guards against urgent requests that wait seconds for their first token behind long prompts at
+/// the engine. Engines process prompts in order and do not preempt, so a second long request of a
+/// lower tier must wait at the arbiter, where urgent requests can overtake it.
 #[test]
 fn prompts_of_lower_tiers_do_not_pile_up_at_an_engine() {
     let mut bench = Bench::new(TEXT);
-    let drawings: Vec<u64> = (0..3).map(|_| bench.ask(at(1), 1, 8_000, 10, 60_000)).collect();
-    let granted = drawings
+    let long: Vec<u64> = (0..3).map(|_| bench.ask(at(1), 1, 8_000, 10, 60_000)).collect();
+    let granted = long
         .iter()
         .filter(|number| matches!(bench.verdict(**number), Some(VerdictKind::Grant(_))))
         .count();
     assert_eq!(granted, 2, "one for each engine");
-    let check = bench.ask(at(2), 0, 50, 5, 2_000);
-    assert_eq!(bench.verdict(check), Some(&VerdictKind::Grant(target("fast"))));
-    // Once the first prompt is worked on, the engine gets the next, without waiting for an end.
-    bench.release(at(700), check, ReleaseOutcome::Completed);
+    let urgent = bench.ask(at(2), 0, 50, 5, 2_000);
+    assert_eq!(bench.verdict(urgent), Some(&VerdictKind::Grant(target("fast"))));
+    // Once the first prompt is processed, the engine gets the next one, before the first completes.
+    bench.release(at(700), urgent, ReleaseOutcome::Completed);
     bench.advance(at(790));
-    let granted = drawings
+    let granted = long
         .iter()
         .filter(|number| matches!(bench.verdict(**number), Some(VerdictKind::Grant(_))))
         .count();
@@ -188,9 +188,9 @@
     assert!(matches!(bench.verdict(urgent), Some(VerdictKind::Grant(_))));
 }
 
-/// A caller of the urgent tier is told to come back while routine work waits and is served later.
-/// Urgent work alone is more than the targets can do in its time, so one more is shed; everything
-/// that waits below it must be shed with it.
+/// Guards against an urgent request that is refused while routine requests wait and are served
+/// later. The urgent work alone exceeds what the targets can do within its permitted wait, so a
+/// request is shed; all requests that wait in lower tiers must be shed with it.
 #[test]
 fn routine_is_shed_before_urgent() {
     let mut bench = Bench::new(TEXT);
@@ -235,10 +235,10 @@
     assert!(matches!(verdict, Some(VerdictKind::Refuse(RefuseReason::TooLarge, _))), "{verdict:?}");
 }
 
-/// A caller waits although it is known that it cannot be served: its time in line is over.
-/// It must be told at the moment that is known, not at its deadline.
+/// Guards against a request that keeps waiting after its permitted wait is over: it must be refused
+/// then, and not only at its deadline.
 #[test]
-fn a_request_is_refused_when_its_time_in_line_is_over() {
+fn a_request_is_refused_when_its_permitted_wait_is_over() {
     let mut bench = Bench::new(TEXT);
     for _ in 0..8 {
         bench.ask(at(1), 0, 10, 1_000, 3_000_000);
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn those_told_to_come_back_are_spread() {
+fn retry_delays_are_spread_and_grow_with_the_backlog() {
     let mut bench = Bench::new(TEXT);
     let mut times = Vec::new();
     for _ in 0..400 {
@@ -266,7 +266,7 @@
     assert!(*greatest > *least * 2, "from {least:?} to {greatest:?}");
     let mean = |part: &[Duration]| part.iter().sum::<Duration>() / part.len() as u32;
     let (early, late) = times.split_at(times.len() / 2);
-    assert!(mean(late) > mean(early), "the promise does not grow with the backlog");
+    assert!(mean(late) > mean(early), "the retry delay does not grow with the backlog");
 }
 
 #[test]
@@ -281,8 +281,8 @@
     assert_eq!(bench.verdict(number), Some(&VerdictKind::Grant(target("fast"))));
 }
 
-/// Every request is sent to a target that is gone, one connection after another.
-/// A failed connection pauses the target; after the pause it is tried again.
+/// Guards against every request being sent to an unreachable target: a failed connection must pause
+/// the target, and after the pause it must be tried again.
 #[test]
 fn a_target_that_cannot_be_reached_is_paused() {
     let mut bench = Bench::new(TEXT);
@@ -294,9 +294,9 @@
     assert_eq!(bench.verdict(later), Some(&VerdictKind::Grant(target("fast"))));
 }
 
-/// The engine's report counts the requests that this arbiter granted itself.
-/// Counting them twice would leave half of the slots empty; the report is late, so they are compared
-/// with the grants that were out when it was taken.
+/// Guards against slots that stay empty because an engine's load report includes the requests that
+/// this arbiter granted. Reports arrive late, so the arbiter must compare them with its grants at
+/// the time of the report.
 #[test]
 fn a_late_report_does_not_count_own_grants_twice() {
     let mut bench = Bench::new(TEXT);
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn work_that_others_gave_a_target_takes_up_its_slots() {
+fn load_from_other_sources_occupies_slots() {
     let mut bench = Bench::new(TEXT);
     let report = LoadReport { age_ms: 100, running: 4, ..LoadReport::default() };
     bench.arbiter.record_report(at(1_000), target("fast"), &report, &mut Vec::new());
@@ -320,7 +320,7 @@
     assert_eq!(bench.verdict(later), Some(&VerdictKind::Grant(target("fast"))));
 }
 
-/// Slots leak when an entry VM dies: nobody gives them back.
+/// Guards against slots that leak when an entry VM dies, which then never returns them.
 #[test]
 fn the_slots_of_a_dead_vm_are_free_again() {
     let mut bench = Bench::new(TEXT);
@@ -332,9 +332,10 @@
     assert_eq!((bench.arbiter.held(), bench.arbiter.waiting()), (0, 0));
 }
 
-/// A report of a slot's end was lost: the slot is taken back some time after its expected end.
+/// Guards against slots that leak when the message that returns one is lost: the slot must be
+/// reclaimed some time after its expected end.
 #[test]
-fn an_orphaned_slot_is_taken_back() {
+fn an_orphaned_slot_is_reclaimed() {
     let mut bench = Bench::new(TEXT);
     bench.ask(at(1), 0, 10, 100, 60_000);
     bench.advance(at(20_000));
@@ -343,11 +344,11 @@
     assert_eq!(bench.arbiter.held(), 0);
 }
 
-/// A VM has just started and its text names no speeds. Sixty callers come at once for one engine of
-/// four slots, with five seconds each. The engine may be far faster than what is assumed of one that
-/// was never observed: nobody is refused for that, and one after the other is granted.
+/// Guards against refusals that rest on an assumed speed. The services text declares no speeds and
+/// none was observed yet, so the engines may be far faster than assumed: of 60 requests with 5 s
+/// each that arrive at once, none may be refused, and they are granted as slots become free.
 #[test]
-fn nobody_is_refused_on_a_speed_that_was_only_assumed() {
+fn an_assumed_speed_refuses_no_request() {
     let text = TEXT.replace("prefill-rate: 10000, decode-rate: 100", "refusal-ran-nothing: true");
     let text = text.replace("prefill-rate: 1000, decode-rate: 10", "refusal-ran-nothing: true");
     let mut bench = Bench::new(&text);
@@ -369,8 +370,9 @@
     assert_eq!(refused(&bench), 0);
 }
 
-/// Guards against a target that is back and gets nothing for seconds: several connections had failed at one moment, and
-/// each made the pause twice as long, though all of them tell of one absence.
+/// Guards against a target that gets no requests for seconds after it is reachable again because
+/// several connections failed at the same time and each doubled the pause, although they show a
+/// single outage.
 #[test]
 fn connections_that_fail_together_make_one_pause() {
     let mut bench = Bench::new(TEXT);
@@ -383,14 +385,19 @@
     assert_eq!(bench.verdict(next), Some(&VerdictKind::Grant(target("fast"))));
     bench.release(at(280), next, ReleaseOutcome::ConnectFailed);
     let again = bench.ask(at(600), 0, 100, 10, 10_000);
-    assert_eq!(bench.verdict(again), Some(&VerdictKind::Grant(target("slow"))), "twice as long");
+    assert_eq!(
+        bench.verdict(again),
+        Some(&VerdictKind::Grant(target("slow"))),
+        "the second pause should be twice as long"
+    );
 }
 
-/// Plays a target that crashes under each request and is away for 300 ms each time, and at first for `away`; returns when
-/// requests have reached it.
-fn play_crashing_target(away: u64) -> Vec<u64> {
+/// Simulates a target that crashes during each request and is down for 300 ms each time, and
+/// initially for `down` milliseconds. Returns the times in milliseconds at which requests reached
+/// it.
+fn simulate_crashing_target(down: u64) -> Vec<u64> {
     let mut bench = Bench::new(ONE_TARGET);
-    let (mut back, mut reached) = (away, Vec::new());
+    let (mut up_at, mut reached) = (down, Vec::new());
     let mut running: Vec<(u64, u64)> = Vec::new();
     for millis in (1..8_000).step_by(10) {
         bench.advance(at(millis));
@@ -399,13 +406,13 @@
         }
         let crashes = running.iter().any(|(_, end)| *end != 0 && *end <= millis);
         if crashes {
-            back = millis + 300;
+            up_at = millis + 300;
         }
         for (number, end) in std::mem::take(&mut running) {
             let granted = matches!(bench.verdict(number), Some(VerdictKind::Grant(_)));
             if end != 0 && crashes {
                 bench.release(at(millis), number, ReleaseOutcome::Failed);
-            } else if end == 0 && granted && millis < back {
+            } else if end == 0 && granted && millis < up_at {
                 bench.release(at(millis), number, ReleaseOutcome::ConnectFailed);
             } else if end == 0 && granted {
                 reached.push(millis);
@@ -418,14 +425,14 @@
     reached
 }
 
-/// Guards against a target that is passed over for longer each time it crashes, though it is soon back: that a request has
-/// reached it ends the row of failures.
+/// Guards against a target that is paused for longer after each crash although it soon restarts: a
+/// request that reaches it must reset the pause.
 #[test]
 fn a_target_that_is_reached_again_begins_with_a_short_pause() {
-    for away in (1..2_000).step_by(150) {
-        let reached = play_crashing_target(away);
+    for down in (1..2_000).step_by(150) {
+        let reached = simulate_crashing_target(down);
         let gaps = reached.windows(2).map(|pair| pair[1] - pair[0]);
-        let longest = gaps.max().expect("it is reached more than once");
-        assert!(longest < 1_000, "away for {away} ms: {reached:?}");
+        let longest = gaps.max().expect("the target should be reached more than once");
+        assert!(longest < 1_000, "initially down for {down} ms: {reached:?}");
     }
 }
--- a/crates/ryetide-core/tests/entry.rs
+++ b/crates/ryetide-core/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Single decisions of an entry VM that the fault matrix does not single out.
+//! Tests of single decisions of an entry VM that the fault matrix does not cover separately.
 
 use std::time::Duration;
 
@@ -31,10 +31,11 @@
         Self { core: EntryCore::new(options), now: Moment(1) }
     }
 
-    /// Creates a VM with a configuration in force.
+    /// Creates a VM that has a configuration in force.
     fn serving(switches: SafeguardSwitches) -> Self {
         let mut bench = Self::new(switches);
-        let token = table_token(&bench.step(Event::Tick)).expect("the row is read");
+        let token = table_token(&bench.step(Event::Tick))
+            .expect("the VM should read the configuration row");
         let value = serde_json::json!({"revision": 1, "operation": 1, "text": TEXT}).to_string();
         let answer = TableAnswer::Row(Some(TableRow { version: 1, value }));
         bench.step(Event::TableReplied { token, answer });
@@ -48,7 +49,7 @@
         effects.drain().collect()
     }
 
-    fn hear(&mut self, message: PeerMessage) -> Vec<Effect> {
+    fn receive(&mut self, message: PeerMessage) -> Vec<Effect> {
         self.step(Event::PeerMessage {
             from: VmName::from("e2"),
             incarnation: Incarnation(2),
@@ -95,14 +96,17 @@
     }
 }
 
-/// An order that another VM holds is run a second time.
-/// This VM asked e2 in an earlier life what became of a request; e2's "not run" comes after the
-/// restart, when the same number belongs to another order, whose holder must not be passed over.
+/// Returns whether a late reply makes this VM take over a key that another VM holds, so that the
+/// request would run twice.
+///
+/// An earlier incarnation of this VM asked e2 for the outcome of a request. The reply "not run"
+/// arrives after the restart, when the same sequence number belongs to another request, whose key
+/// e2 still holds.
 fn late_reply_takes_a_key_over(switches: SafeguardSwitches) -> bool {
     let mut bench = Bench::serving(switches);
-    bench.hear(PeerMessage::Heartbeat(HeartbeatMessage::default()));
+    bench.receive(PeerMessage::Heartbeat(HeartbeatMessage::default()));
     let effects = bench.step(Event::Arrived(request(1, "records", Some("order"))));
-    let token = table_token(&effects).expect("the key is claimed");
+    let token = table_token(&effects).expect("the VM should claim the key");
     let holder = RequestId {
         vm: VmName::from("e2"),
         incarnation: Incarnation(2),
@@ -112,7 +116,7 @@
     let answer = TableAnswer::Conflict(Some(TableRow { version: 4, value }));
     bench.step(Event::TableReplied { token, answer });
     let ask = AskRef { life: LifeMark(77), sequence: RequestSequence(1) };
-    let effects = bench.hear(PeerMessage::OutcomeReply { ask, outcome: ClaimOutcome::NotRun });
+    let effects = bench.receive(PeerMessage::OutcomeReply { ask, outcome: ClaimOutcome::NotRun });
     let takes = |effect: &Effect| {
         matches!(effect, Effect::Table { command: TableCommand::Write { expected: 4, .. }, .. })
     };
@@ -120,14 +124,14 @@
 }
 
 #[test]
-fn replies_for_an_earlier_life_are_dropped() {
+fn replies_for_an_earlier_incarnation_are_dropped() {
     assert!(!late_reply_takes_a_key_over(SafeguardSwitches::default()));
     let off = SafeguardSwitches::without("life_check").unwrap();
     assert!(late_reply_takes_a_key_over(off), "the safeguard prevents nothing");
 }
 
 #[test]
-fn without_a_configuration_nothing_runs_and_callers_are_told() {
+fn without_a_configuration_requests_are_refused() {
     let mut bench = Bench::new(SafeguardSwitches::default());
     let effects = bench.step(Event::Arrived(request(1, "drafting", None)));
     assert!(matches!(
@@ -149,11 +153,12 @@
     assert_eq!(answers(&effects), [FinalAnswer::Rejected(RejectReason::KeyMissing)]);
 }
 
-/// A service's dependency has no usable target: its callers are told at once, before any prefill.
+/// Guards against prefill work that is wasted: if a service's dependency has no usable target, its
+/// requests must be refused on arrival.
 #[test]
 fn a_dependency_that_is_down_refuses_at_once() {
     let mut bench = Bench::serving(SafeguardSwitches::default());
-    // The arbiter of `records` is this VM: it learns that the only target is leaving.
+    // This VM arbitrates `records`, and the platform's list marks its only target as leaving.
     bench.step(Event::Arrived(request(1, "records", None)));
     bench.step(Event::ListRead(vec![ryetide_core::event::ListedVm {
         name: "r1".to_owned(),
@@ -168,7 +173,8 @@
     ));
 }
 
-/// A recorded run replays: the same events give the same effects, also through JSON.
+/// Guards against nondeterminism and lossy encoding: the same events, decoded from JSON, must
+/// produce the same effects.
 #[test]
 fn a_recorded_run_replays() {
     let mut events = vec![Event::Tick];
@@ -184,9 +190,10 @@
     assert!(first.iter().any(|effect| matches!(effect, Effect::Connect { .. })), "nothing ran");
 }
 
-/// Any events in any order leave each request with at most one final answer and one dispatch.
+/// Guards against event orders that dispatch or answer a request twice, or that answer "not run"
+/// after the dispatch without a refusal by the target.
 #[test]
-fn random_events_keep_the_promises() {
+fn random_events_dispatch_and_answer_at_most_once() {
     bolero::check!().with_type::<Vec<(u8, u8, u8)>>().for_each(|script| {
         let mut bench = Bench::serving(SafeguardSwitches::default());
         let (mut dispatched, mut answered) = (Vec::new(), Vec::new());
@@ -235,7 +242,7 @@
                             FinalAnswer::NotRun { reason: RefuseReason::TargetRefused, .. }
                         );
                         let not_run = matches!(answer, FinalAnswer::NotRun { .. }) && !refused;
-                        assert!(!(ran && not_run), "told \"not run\" after the dispatch");
+                        assert!(!(ran && not_run), "answered \"not run\" after the dispatch");
                     }
                     _ => {}
                 }
--- a/crates/ryetide-core/tests/queue.rs
+++ b/crates/ryetide-core/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The order of service: tiers, organisations, deadlines.
+//! Tests of the queue's order of service by tier, organisation and deadline.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
     }
 }
 
-/// A caller of the routine tier waits for ever although every slot is free.
-/// An urgent organisation was served and left its line empty; its finishing tag is kept, so that it
-/// gains no fresh start. The empty line must not stand in front of the lines behind it.
+/// Guards against requests of a lower tier that wait forever although every slot is free: a tier
+/// that became empty still keeps its organisations' virtual finish times, and must not hide the
+/// tiers below it.
 #[test]
-fn an_emptied_tier_does_not_block_the_tiers_behind_it() {
+fn an_emptied_tier_does_not_block_the_tiers_below_it() {
     let mut queue = FairQueue::new();
     queue.push("urgent", &ticket(0, 1));
     assert_eq!(queue.pop().map(|(key, _)| key), Some("urgent"));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn urgent_goes_before_routine_whatever_came_first() {
+fn tiers_are_served_in_order_of_urgency() {
     let mut queue = FairQueue::new();
     queue.push("routine", &ticket(2, 1));
     queue.push("urgent", &ticket(0, 1));
@@ -42,9 +42,8 @@
     assert_eq!(order, ["urgent", "middle", "routine"]);
 }
 
-/// A light organisation's requests wait behind a heavy one's whole backlog.
-/// The heavy one queued 100 requests before the light one queued its first; sharing by weight serves
-/// the light one within the next two.
+/// Guards against an organisation that waits behind the whole backlog of another: with 100 requests
+/// of the heavy organisation queued first, the light one must be served within the next two.
 #[test]
 fn a_heavy_organisation_does_not_starve_a_light_one() {
     let mut queue = FairQueue::new();
@@ -68,27 +67,27 @@
     }
     let served: Vec<u32> = (0..60).filter_map(|_| queue.pop()).map(|(key, _)| key).collect();
     let heavy = served.iter().filter(|key| **key == 1).count();
-    assert!((39..=41).contains(&heavy), "of 60, weight 2 had {heavy}");
+    assert!((39..=41).contains(&heavy), "of 60, weight 2 got {heavy}");
 }
 
-/// An organisation is served far beyond its share by sending one request at a time.
-/// Its line is empty after each; without the kept finishing tag every request would start anew at
-/// the front.
+/// Guards against an organisation that gets more than its share by sending one request at a time.
+/// Its queue is empty after each request, and without the stored virtual finish time every request
+/// would start at the front.
 #[test]
-fn emptying_the_line_gains_no_fresh_start() {
+fn an_emptied_queue_keeps_its_virtual_finish_time() {
     let mut queue = FairQueue::new();
     for number in 0..40 {
         queue.push(number, &ticket(0, 1));
     }
-    let mut trickled = 0;
+    let mut served = 0;
     queue.push(1_000, &ticket(0, 2));
     for _ in 0..20 {
         if queue.pop().is_some_and(|(key, _)| key == 1_000) {
-            trickled += 1;
+            served += 1;
             queue.push(1_000, &ticket(0, 2));
         }
     }
-    assert!((9..=11).contains(&trickled), "of 20, the trickling one had {trickled}");
+    assert!((9..=11).contains(&served), "of 20, the second organisation got {served}");
 }
 
 #[test]
@@ -100,7 +99,7 @@
 }
 
 #[test]
-fn removing_keeps_the_books() {
+fn removing_an_entry_updates_the_counts() {
     let mut queue = FairQueue::new();
     let place = queue.push("a", &ticket(0, 1));
     queue.push("b", &ticket(0, 2));
@@ -113,8 +112,8 @@
     assert_eq!(queue.work_ahead(TierRank(9)), Duration::ZERO);
 }
 
-/// A light organisation is refused for the backlog of a heavy one, although fair sharing would serve
-/// it soon. The wait that it is told must be its own, not the tier's.
+/// Guards against requests of a light organisation that are refused because of the backlog of a
+/// heavy one, although fair sharing would serve them soon: the work ahead must be per organisation.
 #[test]
 fn the_work_ahead_of_a_light_organisation_is_not_the_whole_backlog() {
     let mut queue = FairQueue::new();
@@ -127,13 +126,14 @@
     assert_eq!(heavy, Duration::from_millis(1_000));
 }
 
-/// The state kept for organisations that have nothing waiting goes away as others are served.
+/// Guards against unbounded state: virtual finish times of organisations without waiting requests
+/// must be dropped as others are served.
 #[test]
-fn state_grows_with_the_organisations_that_wait() {
+fn state_does_not_grow_with_the_organisations_that_were_served() {
     let mut queue = FairQueue::new();
     for organisation in 0..1_000 {
         queue.push(organisation, &ticket(0, organisation));
         queue.pop();
     }
-    assert!(queue.tracked_organisations() <= 2, "held {}", queue.tracked_organisations());
+    assert!(queue.tracked_organisations() <= 2, "tracked {}", queue.tracked_organisations());
 }
