--- a/crates/ryetide-core/src/claim.rs
+++ b/crates/ryetide-core/src/claim.rs
@@ -1,10 +1,10 @@
-//! Claims on idempotency keys: a request that must not run twice holds a row in the table service
+//! Claims on idempotency keys: a request that must not run twice needs a row in the table service
 //! before it may be dispatched.
 //!
-//! The row names the request that holds the key. It is inserted only where it is absent, and it is
-//! never taken over while its holder might still dispatch: only the holder itself can say that its
-//! request did not run. A holder that cannot be asked leaves the answer "unknown". A claim has no
-//! expiry, so a holder that was paused past any time limit and wakes finds its claim still its own.
+//! The row names the request that holds the key. It is inserted only if no row exists for the key,
+//! and another request takes it over only after the holder itself has reported that its request did
+//! not run. If the holder cannot be reached, the outcome is "unknown". A claim never expires, so a
+//! holder that resumes after a pause of any length still owns its claim.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,39 +23,39 @@
     units::Moment,
 };
 
-/// How long the holder of a key is given to say what became of its request.
+/// How long to wait for the holder of a key to report the outcome of its request.
 pub const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long the outcome of a request with a key stays askable.
-pub const OUTCOME_LIFE: Duration = Duration::from_secs(600);
-/// How often a write whose answer was lost is tried again.
-const SETTLE_TRIES: u32 = 5;
-/// The largest answer that is kept for a repeat.
-const KEPT_ANSWER_LIMIT: usize = 256 << 10;
-/// The bytes of all kept answers together.
-const KEPT_TOTAL_LIMIT: usize = 8 << 20;
-/// The most outcomes kept.
+/// How long the outcome of a request with a key is retained after the request has ended.
+pub const OUTCOME_RETENTION: Duration = Duration::from_secs(600);
+/// The number of unanswered writes after which a claim is given up.
+const MAX_UNANSWERED_WRITES: u32 = 5;
+/// The largest answer, in bytes, that is stored for a repeat of the request.
+const STORED_ANSWER_LIMIT: usize = 256 << 10;
+/// The maximum total size of all stored answers, in bytes.
+const STORED_TOTAL_LIMIT: usize = 8 << 20;
+/// The maximum number of retained outcomes.
 const OUTCOME_LIMIT: usize = 50_000;
 
 #[derive(Debug, Deserialize, Serialize)]
 struct ClaimRow {
     holder: RequestId,
-    /// The holder's request did not run and never will.
+    /// Whether the holder has given the key back: its request did not run and never will.
     #[serde(default)]
     released: bool,
 }
 
-/// What follows for a request that claims its key.
+/// The next step for a request that claims its key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimStep {
-    /// Nothing yet; a command may have to be run.
+    /// Run this command; the claim continues with its answer.
     Command(TableCommand),
-    /// The claim is held: the request may go on.
+    /// The claim is held: the request may proceed.
     Held,
-    /// The key belongs to another request, whose VM must be asked.
+    /// Another request holds the key, and its VM must be asked for the outcome.
     Query(RequestId),
-    /// The key belongs to another request, of which this is known.
+    /// Another request holds the key, with this outcome.
     Earlier(ClaimOutcome),
-    /// The claim could not be made, and was not.
+    /// The claim could not be made: the request must not be dispatched.
     Unavailable,
 }
 
@@ -63,14 +63,15 @@
 struct PendingClaim {
     key: String,
     token: TableToken,
-    expected: u64,
-    /// The row's version once the claim is held.
+    expected_version: u64,
+    /// The row's version, once the claim is held.
     version: Option<u64>,
-    /// Whether a write was sent whose answer is not known.
-    write_open: bool,
-    tries: u32,
+    /// Whether a write was sent and its result is unknown.
+    write_unconfirmed: bool,
+    unanswered_writes: u32,
     query_until: Option<Moment>,
-    /// The request ended before its claim was answered.
+    /// Whether the request ended before the claim was held; the claim is then released as soon as
+    /// its write succeeds.
     ended: bool,
 }
 
@@ -78,17 +79,17 @@
 struct OutcomeRecord {
     sequence: RequestSequence,
     outcome: ClaimOutcome,
-    kept: Option<KeptBody>,
+    stored: Option<StoredBody>,
 }
 
 #[derive(Debug, Default)]
-struct KeptBody {
+struct StoredBody {
     status: u16,
     content_type: String,
     body: Vec<u8>,
 }
 
-/// Keeps the claims and outcomes of one entry VM.
+/// The claims and outcomes of one entry VM.
 #[derive(Debug)]
 pub struct ClaimKeeper {
     vm: VmName,
@@ -99,13 +100,13 @@
     outcomes: BTreeMap<String, OutcomeRecord>,
     /// The key of each request that has an outcome.
     keys: BTreeMap<RequestSequence, String>,
-    /// When each outcome was reached, the oldest first.
-    ends: BTreeSet<(Moment, RequestSequence)>,
-    kept_bytes: usize,
+    /// The ended requests by the time at which they ended.
+    by_end: BTreeSet<(Moment, RequestSequence)>,
+    stored_bytes: usize,
 }
 
 impl ClaimKeeper {
-    /// Creates a keeper without claims.
+    /// Creates a manager without claims.
     pub fn new(vm: VmName, incarnation: Incarnation, switches: SafeguardSwitches) -> Self {
         Self {
             vm,
@@ -115,29 +116,29 @@
             by_token: BTreeMap::new(),
             outcomes: BTreeMap::new(),
             keys: BTreeMap::new(),
-            ends: BTreeSet::new(),
-            kept_bytes: 0,
+            by_end: BTreeSet::new(),
+            stored_bytes: 0,
         }
     }
 
-    /// Begins the claim of `key` for a request. A repeat through the same VM is answered from its
-    /// memory without a write.
+    /// Begins the claim of `key` for a request. A repeat that arrives at the same VM is answered
+    /// from the outcome in memory, without a write.
     pub fn begin(
         &mut self,
         sequence: RequestSequence,
         key: String,
         token: TableToken,
     ) -> ClaimStep {
-        if let Some(known) = self.local_outcome(&key) {
-            return ClaimStep::Earlier(known);
+        if let Some(outcome) = self.known_outcome(&key) {
+            return ClaimStep::Earlier(outcome);
         }
         let claim = PendingClaim {
             key,
             token,
-            expected: 0,
+            expected_version: 0,
             version: None,
-            write_open: false,
-            tries: 0,
+            write_unconfirmed: false,
+            unanswered_writes: 0,
             query_until: None,
             ended: false,
         };
@@ -145,8 +146,8 @@
         self.write(sequence, 0, token)
     }
 
-    /// Returns what this VM knows of `key`, unless its request did not run.
-    fn local_outcome(&self, key: &str) -> Option<ClaimOutcome> {
+    /// Returns the outcome that this VM knows for `key`, unless that request did not run.
+    fn known_outcome(&self, key: &str) -> Option<ClaimOutcome> {
         let record = self.outcomes.get(key)?;
         match &record.outcome {
             ClaimOutcome::NotRun => None,
@@ -161,7 +162,7 @@
         };
         self.by_token.remove(&claim.token);
         claim.token = token;
-        claim.expected = expected;
+        claim.expected_version = expected;
         self.by_token.insert(token, sequence);
         let value = claim_value(holder, false);
         ClaimStep::Command(TableCommand::Write { key: claim.key.clone(), expected, value })
@@ -171,12 +172,12 @@
         RequestId { vm: self.vm.clone(), incarnation: self.incarnation, sequence }
     }
 
-    /// Returns the request that an answer of the table service belongs to, if it is a claim's.
+    /// Returns the request whose claim sent the command with `token`, if any.
     pub fn request_of(&self, token: TableToken) -> Option<RequestSequence> {
         self.by_token.get(&token).copied()
     }
 
-    /// Takes an answer of the table service for the claim of `sequence`.
+    /// Handles an answer of the table service to a command for the claim of `sequence`.
     pub fn handle_table(
         &mut self,
         sequence: RequestSequence,
@@ -188,20 +189,20 @@
         };
         self.by_token.remove(&claim.token);
         match answer {
-            TableAnswer::Written(version) => self.hold(sequence, *version),
-            TableAnswer::Conflict(Some(row)) => self.meet_row(sequence, row, next_token),
+            TableAnswer::Written(version) => self.mark_held(sequence, *version),
+            TableAnswer::Conflict(Some(row)) => self.handle_conflict(sequence, row, next_token),
             TableAnswer::Conflict(None) => self.write(sequence, 0, next_token()),
             TableAnswer::Lost => {
-                claim.write_open = true;
-                claim.tries += 1;
+                claim.write_unconfirmed = true;
+                claim.unanswered_writes += 1;
                 if !self.switches.claim_settled {
                     return ClaimStep::Held;
                 }
-                self.settle(sequence, next_token)
+                self.retry_write(sequence, next_token)
             }
-            TableAnswer::Unavailable if claim.write_open => {
-                claim.tries += 1;
-                self.settle(sequence, next_token)
+            TableAnswer::Unavailable if claim.write_unconfirmed => {
+                claim.unanswered_writes += 1;
+                self.retry_write(sequence, next_token)
             }
             TableAnswer::Unavailable | TableAnswer::Row(_) | TableAnswer::Unchanged => {
                 self.claims.remove(&sequence);
@@ -210,8 +211,9 @@
         }
     }
 
-    /// Writes again after a lost answer: the row then says whether the first write took effect.
-    fn settle(
+    /// Repeats a write whose answer was lost: a conflict with a row that names this request shows
+    /// that the first write took effect.
+    fn retry_write(
         &mut self,
         sequence: RequestSequence,
         next_token: &mut impl FnMut() -> TableToken,
@@ -219,20 +221,20 @@
         let Some(claim) = self.claims.get(&sequence) else {
             return ClaimStep::Unavailable;
         };
-        if claim.tries >= SETTLE_TRIES || claim.ended {
+        if claim.unanswered_writes >= MAX_UNANSWERED_WRITES || claim.ended {
             self.claims.remove(&sequence);
             return ClaimStep::Unavailable;
         }
-        let expected = claim.expected;
+        let expected = claim.expected_version;
         self.write(sequence, expected, next_token())
     }
 
-    fn hold(&mut self, sequence: RequestSequence, version: u64) -> ClaimStep {
+    fn mark_held(&mut self, sequence: RequestSequence, version: u64) -> ClaimStep {
         let Some(claim) = self.claims.get_mut(&sequence) else {
             return ClaimStep::Unavailable;
         };
         claim.version = Some(version);
-        claim.write_open = false;
+        claim.write_unconfirmed = false;
         if claim.ended {
             let release = self.release(sequence);
             return release.map_or(ClaimStep::Unavailable, ClaimStep::Command);
@@ -242,31 +244,32 @@
         let record = OutcomeRecord {
             sequence,
             outcome: ClaimOutcome::InProgress,
-            kept: Some(KeptBody::default()),
+            stored: Some(StoredBody::default()),
         };
         self.outcomes.insert(key, record);
         ClaimStep::Held
     }
 
-    /// Meets the row of another request, or of this one when an earlier answer was lost.
-    fn meet_row(
+    /// Handles a write that failed because a row exists: another request's row, or this request's
+    /// own if the answer to an earlier write was lost.
+    fn handle_conflict(
         &mut self,
         sequence: RequestSequence,
         row: &TableRow,
         next_token: &mut impl FnMut() -> TableToken,
     ) -> ClaimStep {
         let Ok(found) = serde_json::from_str::<ClaimRow>(&row.value) else {
-            // Whose it is cannot be read; only "may have run" is safe to say.
+            // The holder is unknown, so the only safe outcome is "may have run".
             self.claims.remove(&sequence);
             return ClaimStep::Earlier(ClaimOutcome::Unknown);
         };
         if found.holder == self.id_of(sequence) {
-            return self.hold(sequence, row.version);
+            return self.mark_held(sequence, row.version);
         }
         let Some(claim) = self.claims.get_mut(&sequence) else {
             return ClaimStep::Unavailable;
         };
-        claim.expected = row.version;
+        claim.expected_version = row.version;
         if claim.ended {
             self.claims.remove(&sequence);
             return ClaimStep::Unavailable;
@@ -278,25 +281,25 @@
         ClaimStep::Query(found.holder)
     }
 
-    /// Returns whether `holder` is a request of this VM's present life.
+    /// Returns whether `holder` is a request of this VM's current incarnation.
     pub fn is_own(&self, holder: &RequestId) -> bool {
         holder.vm == self.vm && holder.incarnation == self.incarnation
     }
 
-    /// Notes that the holder was asked and is given until `until`.
+    /// Records that the holder was asked for the outcome and must answer before `until`.
     pub fn await_query(&mut self, sequence: RequestSequence, until: Moment) {
         if let Some(claim) = self.claims.get_mut(&sequence) {
             claim.query_until = Some(until);
         }
     }
 
-    /// Returns until when the holder of this request's key may answer.
+    /// Returns the time by which the holder of this request's key must answer a query.
     pub fn query_until(&self, sequence: RequestSequence) -> Option<Moment> {
         self.claims.get(&sequence)?.query_until
     }
 
-    /// Takes what the holder said. "Not run" is its final word, so the key may be taken over; the
-    /// write against the row's version makes sure that only one of several repeats does.
+    /// Handles the outcome that the holder reported. "Not run" is final, so the key may be taken
+    /// over; the conditional write on the row's version lets only one of several repeats do so.
     pub fn handle_outcome(
         &mut self,
         sequence: RequestSequence,
@@ -308,15 +311,15 @@
         };
         claim.query_until = None;
         if outcome == ClaimOutcome::NotRun {
-            let expected = claim.expected;
+            let expected = claim.expected_version;
             return self.write(sequence, expected, token);
         }
         self.claims.remove(&sequence);
         ClaimStep::Earlier(outcome)
     }
 
-    /// Meets a holder that cannot be asked: it died, or does not answer. It may have dispatched, or
-    /// may be paused and yet do so, so the key is not taken over.
+    /// Handles a holder that died or does not answer. It may have dispatched its request, or may do
+    /// so after a pause, so the key is not taken over.
     pub fn handle_no_holder(&mut self, sequence: RequestSequence, token: TableToken) -> ClaimStep {
         if !self.switches.claim_kept {
             return self.handle_outcome(sequence, ClaimOutcome::NotRun, token);
@@ -325,7 +328,7 @@
         ClaimStep::Earlier(ClaimOutcome::Unknown)
     }
 
-    /// Returns what this VM knows of a request that holds a key.
+    /// Returns the outcome of a request of this VM that holds a key.
     pub fn outcome_of(&self, holder: RequestSequence) -> ClaimOutcome {
         if self.claims.get(&holder).is_some_and(|claim| !claim.ended) {
             return ClaimOutcome::InProgress;
@@ -336,34 +339,35 @@
         found.map_or(ClaimOutcome::Unknown, |record| record.outcome.clone())
     }
 
-    /// Keeps a piece of an answer for a repeat, within bounds.
+    /// Stores a piece of an answer for repeats of the request. An answer that exceeds the size
+    /// limits is dropped entirely.
     pub fn keep_piece(&mut self, key: &str, bytes: &Bytes) {
         let Some(record) = self.outcomes.get_mut(key) else {
             return;
         };
-        let Some(kept) = &mut record.kept else { return };
-        let fits = kept.body.len() + bytes.len() <= KEPT_ANSWER_LIMIT
-            && self.kept_bytes + bytes.len() <= KEPT_TOTAL_LIMIT;
+        let Some(stored) = &mut record.stored else { return };
+        let fits = stored.body.len() + bytes.len() <= STORED_ANSWER_LIMIT
+            && self.stored_bytes + bytes.len() <= STORED_TOTAL_LIMIT;
         if fits {
-            kept.body.extend_from_slice(bytes);
-            self.kept_bytes += bytes.len();
+            stored.body.extend_from_slice(bytes);
+            self.stored_bytes += bytes.len();
         } else {
-            self.kept_bytes -= kept.body.len();
-            record.kept = None;
+            self.stored_bytes -= stored.body.len();
+            record.stored = None;
         }
     }
 
-    /// Keeps the head of an answer for a repeat.
+    /// Stores the head of an answer for repeats of the request.
     pub fn keep_head(&mut self, key: &str, status: u16, content_type: &str) {
         let record = self.outcomes.get_mut(key);
-        if let Some(kept) = record.and_then(|record| record.kept.as_mut()) {
-            kept.status = status;
-            content_type.clone_into(&mut kept.content_type);
+        if let Some(stored) = record.and_then(|record| record.stored.as_mut()) {
+            stored.status = status;
+            content_type.clone_into(&mut stored.content_type);
         }
     }
 
-    /// Ends a request with a key. A claim on a request that did not run is given back, so that the
-    /// caller's repeat may run; returns the command for that.
+    /// Records the end of a request with a key. If the request did not run, its claim is released so
+    /// that the caller's repeat may run; the command for that is returned.
     pub fn end(
         &mut self,
         now: Moment,
@@ -376,7 +380,7 @@
         if held || not_run {
             let own = self.outcomes.get(key).is_none_or(|record| record.sequence == sequence);
             if own {
-                self.note_outcome(now, sequence, key, outcome);
+                self.record_outcome(now, sequence, key, outcome);
             }
         }
         if not_run {
@@ -386,36 +390,36 @@
         None
     }
 
-    fn note_outcome(
+    fn record_outcome(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         key: &str,
         outcome: &ClaimOutcome,
     ) {
-        let kept = self.outcomes.remove(key).and_then(|record| record.kept);
-        let outcome = match (outcome, kept) {
-            (ClaimOutcome::Answered(_), Some(kept)) => ClaimOutcome::Answered(Some(KeptAnswer {
-                status: kept.status,
-                content_type: kept.content_type,
-                body: Bytes::from(kept.body),
+        let stored = self.outcomes.remove(key).and_then(|record| record.stored);
+        let outcome = match (outcome, stored) {
+            (ClaimOutcome::Answered(_), Some(stored)) => ClaimOutcome::Answered(Some(KeptAnswer {
+                status: stored.status,
+                content_type: stored.content_type,
+                body: Bytes::from(stored.body),
             })),
-            (outcome, kept) => {
-                self.kept_bytes -= kept.map_or(0, |kept| kept.body.len());
+            (outcome, stored) => {
+                self.stored_bytes -= stored.map_or(0, |stored| stored.body.len());
                 outcome.clone()
             }
         };
-        let record = OutcomeRecord { sequence, outcome, kept: None };
+        let record = OutcomeRecord { sequence, outcome, stored: None };
         self.outcomes.insert(key.to_owned(), record);
         self.keys.insert(sequence, key.to_owned());
-        self.ends.insert((now, sequence));
+        self.by_end.insert((now, sequence));
     }
 
-    /// Gives a held claim back, or remembers to do so when its write is answered.
+    /// Releases a held claim, or marks it to be released once its write has succeeded.
     ///
-    /// The row is marked, not deleted: a delete that arrives late could hit the row that another
-    /// request has inserted anew under the same version, and that request could then run twice.
-    /// Versions of a row that stays only rise, so a late write fails.
+    /// The row is marked as released, not deleted: a delete that arrives late could remove a row
+    /// that another request has since inserted with the same version, and that request could then
+    /// run twice. The version of a row that is never deleted only increases, so a late write fails.
     fn release(&mut self, sequence: RequestSequence) -> Option<TableCommand> {
         let claim = self.claims.get_mut(&sequence)?;
         claim.ended = true;
@@ -425,24 +429,24 @@
         Some(TableCommand::Write { key: claim.key, expected, value })
     }
 
-    /// Forgets outcomes whose time is over, and the oldest when there are too many.
+    /// Drops outcomes whose retention time is over, and the oldest ones above the maximum number.
     pub fn advance(&mut self, now: Moment) {
-        while let Some((at, sequence)) = self.ends.first().copied() {
-            if now.since(at) <= OUTCOME_LIFE && self.ends.len() <= OUTCOME_LIMIT {
+        while let Some((at, sequence)) = self.by_end.first().copied() {
+            if now.since(at) <= OUTCOME_RETENTION && self.by_end.len() <= OUTCOME_LIMIT {
                 return;
             }
-            self.ends.pop_first();
+            self.by_end.pop_first();
             let Some(key) = self.keys.remove(&sequence) else {
                 continue;
             };
-            let current = self.outcomes.get(&key).is_some_and(|one| one.sequence == sequence);
+            let current = self.outcomes.get(&key).is_some_and(|record| record.sequence == sequence);
             if let Some(record) = current.then(|| self.outcomes.remove(&key)).flatten() {
-                self.kept_bytes -= record.size();
+                self.stored_bytes -= record.size();
             }
         }
     }
 
-    /// Returns the number of claims that are not settled.
+    /// Returns the number of claims that are pending or held.
     pub fn open_claims(&self) -> usize {
         self.claims.len()
     }
@@ -451,8 +455,8 @@
 impl OutcomeRecord {
     fn size(&self) -> usize {
         match &self.outcome {
-            ClaimOutcome::Answered(Some(kept)) => kept.body.len(),
-            _ => self.kept.as_ref().map_or(0, |kept| kept.body.len()),
+            ClaimOutcome::Answered(Some(stored)) => stored.body.len(),
+            _ => self.stored.as_ref().map_or(0, |stored| stored.body.len()),
         }
     }
 }
@@ -461,7 +465,7 @@
     json_form::encode(&ClaimRow { holder, released })
 }
 
-/// Returns the row's key for an organisation's idempotency key.
+/// Returns the key of the table row for an organisation's idempotency key.
 pub fn row_key(organisation: &str, key: &str) -> String {
     format!("claim/{organisation}/{key}")
 }
--- a/crates/ryetide-core/src/configuration.rs
+++ b/crates/ryetide-core/src/configuration.rs
@@ -1,10 +1,10 @@
-//! The services text in force on this entry VM, and an operator's edit on its way into the table.
+//! The services text in force on this entry VM, and a pending edit by an operator.
 //!
-//! A text is accepted by a compare-and-swap of its row in the table service, with the edit's
-//! operation id written alongside. When the answer to that write is lost, the same edit is tried
-//! again against the same version: whichever of the two writes comes first wins, and the row then
-//! says whose it was. Revisions reach the VMs from the table and from peers; a lower one never
-//! replaces a higher one.
+//! An edit is accepted by a compare-and-swap of the configuration row in the table service, which
+//! also stores the edit's operation id. When the answer to that write is lost, the same write is
+//! sent again with the same expected version: only one of the two can take effect, and the
+//! operation id in the row shows whether it belongs to this edit. VMs receive revisions from the
+//! table and from peers; a lower revision never replaces a higher one.
 
 use std::time::Duration;
 
@@ -24,20 +24,21 @@
 
 /// The key of the row that holds the services text.
 pub const CONFIGURATION_KEY: &str = "configuration";
-/// How many earlier edits a row names.
+/// The maximum number of earlier edits that a row lists.
 const RECENT_LIMIT: usize = 16;
-/// Time between tries while an edit's outcome is uncertain.
-const SETTLE_PAUSE: Duration = Duration::from_millis(200);
-/// An operator waits at most this long for an edit's outcome.
-const SETTLE_LIMIT: Duration = Duration::from_secs(10);
-/// The table's readers together stay under this rate.
+/// The delay before a lost or failed exchange is retried: an edit whose outcome is uncertain, or a
+/// request for a peer's text.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The maximum time that an operator waits for an edit's outcome.
+const EDIT_TIMEOUT: Duration = Duration::from_secs(10);
+/// The maximum rate at which all VMs together read the configuration row.
 const TABLE_READS_PER_SECOND: u64 = 100;
-/// The shortest time between two reads of the row by one VM.
-const READ_LEAST: Duration = Duration::from_secs(1);
-/// A read that was not answered is given up after this long.
+/// The shortest interval between two reads of the row by one VM.
+const MIN_READ_INTERVAL: Duration = Duration::from_secs(1);
+/// The time after which an unanswered read is given up.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the row holds.
+/// The content of the configuration row.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct ConfigurationRow {
     revision: Revision,
@@ -47,39 +48,43 @@
     text: String,
 }
 
-/// An operator's edit under way.
+/// A pending edit by an operator.
 #[derive(Debug)]
 struct PendingEdit {
     operation: OperationId,
     base: Option<Revision>,
     text: String,
     started: Moment,
-    /// The row as first read, against whose version every try is written.
-    target: Option<(u64, ConfigurationRow)>,
+    /// The row as first read, with its version, which every write of this edit expects.
+    base_row: Option<(u64, ConfigurationRow)>,
     /// The revision in force when the row was first read.
     floor: Revision,
     token: TableToken,
-    /// Whether a write was sent whose answer is not known.
-    write_open: bool,
+    /// Whether a write was sent and its result is unknown.
+    write_unconfirmed: bool,
     retry_at: Option<Moment>,
 }
 
-/// Keeps the configuration of one entry VM.
+/// The configuration of one entry VM.
 #[derive(Debug)]
 pub struct ConfigurationKeeper {
     switches: SafeguardSwitches,
     state: ConfigurationState,
     text: Option<ConfigurationText>,
     catalog: ServiceCatalog,
+    /// The version of the row that was read or written last.
     known_version: Option<u64>,
-    read: Option<(TableToken, Moment)>,
-    read_at: Moment,
-    pull_at: Moment,
+    /// The periodic read that awaits its answer, with the time at which it was sent.
+    pending_read: Option<(TableToken, Moment)>,
+    /// The time of the next periodic read.
+    next_read_at: Moment,
+    /// The earliest time of the next request for a peer's text.
+    next_pull_at: Moment,
     edit: Option<PendingEdit>,
 }
 
 impl ConfigurationKeeper {
-    /// Creates a keeper with nothing in force.
+    /// Creates a manager with no configuration in force.
     pub fn new(switches: SafeguardSwitches) -> Self {
         Self {
             switches,
@@ -87,14 +92,14 @@
             text: None,
             catalog: ServiceCatalog::default(),
             known_version: None,
-            read: None,
-            read_at: Moment::default(),
-            pull_at: Moment::default(),
+            pending_read: None,
+            next_read_at: Moment::default(),
+            next_pull_at: Moment::default(),
             edit: None,
         }
     }
 
-    /// Returns the catalog in force; empty while nothing is.
+    /// Returns the catalog in force, or an empty catalog while no text is in force.
     pub fn catalog(&self) -> &ServiceCatalog {
         &self.catalog
     }
@@ -104,12 +109,12 @@
         self.text.as_ref()
     }
 
-    /// Returns the revision in force; 0 while nothing is.
+    /// Returns the revision in force, or 0 while no text is in force.
     pub fn revision(&self) -> Revision {
         self.text.as_ref().map_or(Revision(0), |text| text.revision)
     }
 
-    /// Returns the state.
+    /// Returns the state in the configuration chart.
     pub fn state(&self) -> ConfigurationState {
         self.state
     }
@@ -121,8 +126,8 @@
         from_peer: Option<VmName>,
         effects: &mut EffectBuffer,
     ) -> bool {
-        let rises = text.revision > self.revision();
-        if text.revision == self.revision() || (!rises && self.switches.revision_rises) {
+        let is_newer = text.revision > self.revision();
+        if text.revision == self.revision() || (!is_newer && self.switches.revision_rises) {
             return false;
         }
         match ServiceCatalog::parse(&text.text) {
@@ -140,14 +145,14 @@
         true
     }
 
-    /// Decides whether to ask a peer that has `revision` for its text: not more often than needed
-    /// for a lost answer.
+    /// Returns whether to request the text of a peer that has `revision` in force. After a request
+    /// this is `false` for a short time, in which the answer can arrive.
     pub fn wants_from_peer(&mut self, now: Moment, revision: Revision) -> bool {
-        let wanted = revision > self.revision() && now >= self.pull_at;
-        if wanted {
-            self.pull_at = now + SETTLE_PAUSE;
+        let should_pull = revision > self.revision() && now >= self.next_pull_at;
+        if should_pull {
+            self.next_pull_at = now + RETRY_DELAY;
         }
-        wanted
+        should_pull
     }
 
     /// Starts an operator's edit.
@@ -170,10 +175,10 @@
             base,
             text,
             started: now,
-            target: None,
+            base_row: None,
             floor: self.revision(),
             token,
-            write_open: false,
+            write_unconfirmed: false,
             retry_at: None,
         });
         self.read_for_edit(token, effects);
@@ -188,8 +193,8 @@
         effects.push(Effect::Table { token, command });
     }
 
-    /// Takes an answer of the table service; returns whether `token` was this keeper's and, if a
-    /// higher revision came into force, that.
+    /// Handles an answer of the table service. Returns whether `token` belongs to a command of this
+    /// manager, and whether the answer changed the revision in force.
     pub fn handle_table(
         &mut self,
         now: Moment,
@@ -198,9 +203,9 @@
         next_token: &mut impl FnMut() -> TableToken,
         effects: &mut EffectBuffer,
     ) -> TableHandling {
-        if self.read.is_some_and(|(own, _)| own == token) {
-            self.read = None;
-            return TableHandling { taken: true, adopted: self.take_row(answer, effects) };
+        if self.pending_read.is_some_and(|(own, _)| own == token) {
+            self.pending_read = None;
+            return TableHandling { taken: true, adopted: self.adopt_row(answer, effects) };
         }
         if self.edit.as_ref().is_some_and(|edit| edit.token == token) {
             let before = self.revision();
@@ -210,13 +215,14 @@
         TableHandling { taken: false, adopted: false }
     }
 
-    /// Puts a row that was read in force, if it is higher.
-    fn take_row(&mut self, answer: &TableAnswer, effects: &mut EffectBuffer) -> bool {
+    /// Puts the text of a row that was read in force if its revision is higher; returns whether it
+    /// did.
+    fn adopt_row(&mut self, answer: &TableAnswer, effects: &mut EffectBuffer) -> bool {
         let TableAnswer::Row(Some(row)) = answer else {
             return false;
         };
         self.known_version = Some(row.version);
-        let found = match read_row(Some(row)) {
+        let found = match decode_row(Some(row)) {
             Ok(found) => found,
             Err(notice) => {
                 effects.push(Effect::Note(notice));
@@ -224,7 +230,7 @@
             }
         };
         if found.revision < self.revision() {
-            // The platform restored an older copy: an accepted revision must not revert with it.
+            // The platform restored an older copy of the table. An accepted revision must not revert.
             let notice =
                 Notice::RevisionWentBack { found: found.revision, in_force: self.revision() };
             effects.push(Effect::Note(notice));
@@ -243,11 +249,11 @@
         match answer {
             TableAnswer::Row(row) | TableAnswer::Conflict(row) => {
                 let version = row.as_ref().map_or(0, |row| row.version);
-                match read_row(row.as_ref()) {
-                    Err(notice) => self.leave_unreadable(notice, effects),
+                match decode_row(row.as_ref()) {
+                    Err(notice) => self.finish_unreadable(notice, effects),
                     Ok(found) if matches!(answer, TableAnswer::Conflict(_)) => {
-                        edit.write_open = false;
-                        self.finish_against(version, found, effects);
+                        edit.write_unconfirmed = false;
+                        self.finish_from_row(version, found, effects);
                     }
                     Ok(found) => self.continue_edit(version, found, next_token(), effects),
                 }
@@ -257,11 +263,11 @@
                 let text = edit.written_text();
                 self.accept(text, effects);
             }
-            TableAnswer::Unavailable if !edit.write_open => {
+            TableAnswer::Unavailable if !edit.write_unconfirmed => {
                 self.finish(ConfigurationEvent::Collided, ApplyOutcome::NotWritten, effects);
             }
             TableAnswer::Unavailable | TableAnswer::Unchanged => {
-                edit.retry_at = Some(now + SETTLE_PAUSE);
+                edit.retry_at = Some(now + RETRY_DELAY);
             }
             TableAnswer::Lost => {
                 chart::configuration().advance(&mut self.state, ConfigurationEvent::Lost);
@@ -270,21 +276,23 @@
                     self.finish(ConfigurationEvent::Collided, outcome, effects);
                     return;
                 }
-                edit.retry_at = Some(now + SETTLE_PAUSE);
+                edit.retry_at = Some(now + RETRY_DELAY);
             }
         }
     }
 
-    /// Ends an edit that met a row which this process cannot read, such as one that a newer build
-    /// wrote. Taken for an absent row it would be written over, by a revision that may be lower.
-    fn leave_unreadable(&mut self, notice: Notice, effects: &mut EffectBuffer) {
+    /// Ends an edit because this process cannot read the row, which a newer build may have written.
+    /// Treating it as absent would overwrite it, possibly with a lower revision.
+    fn finish_unreadable(&mut self, notice: Notice, effects: &mut EffectBuffer) {
         effects.push(Effect::Note(notice));
-        let tried = self.edit.as_ref().is_some_and(|edit| edit.write_open);
-        let outcome = if tried { ApplyOutcome::Uncertain } else { ApplyOutcome::NotWritten };
+        let may_be_written = self.edit.as_ref().is_some_and(|edit| edit.write_unconfirmed);
+        let outcome =
+            if may_be_written { ApplyOutcome::Uncertain } else { ApplyOutcome::NotWritten };
         self.finish(ConfigurationEvent::Collided, outcome, effects);
     }
 
-    /// Goes on with an edit after its row was read: writes it, or finds how it ended.
+    /// Continues an edit after the row was read: writes the edit, or ends it if the row shows that
+    /// it was written or cannot be written any more.
     fn continue_edit(
         &mut self,
         version: u64,
@@ -294,41 +302,41 @@
     ) {
         let in_force = self.revision();
         let Some(edit) = &mut self.edit else { return };
-        let first_read = edit.target.is_none();
-        let ours = found.names(edit.operation);
-        let standing = found.revision.max(in_force);
-        let base_moved = first_read && edit.base.is_some_and(|base| base != standing);
-        let overtaken = edit.target.as_ref().is_some_and(|(known, _)| *known != version);
-        if ours || base_moved || overtaken {
-            self.finish_against(version, found, effects);
+        let first_read = edit.base_row.is_none();
+        let is_written = found.lists(edit.operation);
+        let latest = found.revision.max(in_force);
+        let base_changed = first_read && edit.base.is_some_and(|base| base != latest);
+        let row_changed = edit.base_row.as_ref().is_some_and(|(known, _)| *known != version);
+        if is_written || base_changed || row_changed {
+            self.finish_from_row(version, found, effects);
             return;
         }
         if first_read {
             edit.floor = in_force;
-            edit.target = Some((version, found));
+            edit.base_row = Some((version, found));
         }
         edit.token = token;
-        edit.write_open = true;
+        edit.write_unconfirmed = true;
         let value = edit.row_value();
         let key = CONFIGURATION_KEY.to_owned();
         let command = TableCommand::Write { key, expected: version, value };
         effects.push(Effect::Table { token, command });
     }
 
-    /// Ends an edit by what the row that stands says.
-    fn finish_against(
+    /// Ends an edit with the outcome that follows from the current row.
+    fn finish_from_row(
         &mut self,
         version: u64,
         found: ConfigurationRow,
         effects: &mut EffectBuffer,
     ) {
         let Some(edit) = &self.edit else { return };
-        if found.names(edit.operation) {
+        if found.lists(edit.operation) {
             let own = edit.written_text();
-            let latest = found.operation == edit.operation;
+            let is_latest = found.operation == edit.operation;
             self.known_version = Some(version);
             self.accept(own, effects);
-            if !latest {
+            if !is_latest {
                 self.adopt(found.into_text(), None, effects);
             }
             return;
@@ -359,8 +367,8 @@
         effects.push(Effect::ApplyDone { operation: edit.operation, outcome });
     }
 
-    /// Does what has fallen due: reads the row at a rate that all `vm_count` VMs together keep
-    /// bounded, and tries an uncertain edit again.
+    /// Performs the actions that are due: reads the row at an interval that bounds the total rate of
+    /// all `vm_count` VMs, and retries an edit whose outcome is uncertain.
     pub fn advance(
         &mut self,
         now: Moment,
@@ -368,21 +376,24 @@
         next_token: &mut impl FnMut() -> TableToken,
         effects: &mut EffectBuffer,
     ) {
-        if self.read.is_some_and(|(_, at)| now.since(at) > READ_TIMEOUT) {
-            self.read = None;
+        if self.pending_read.is_some_and(|(_, at)| now.since(at) > READ_TIMEOUT) {
+            self.pending_read = None;
         }
-        if self.read.is_none() && now >= self.read_at {
+        if self.pending_read.is_none() && now >= self.next_read_at {
             let token = next_token();
-            self.read = Some((token, now));
-            self.read_at = now + read_interval(vm_count);
+            self.pending_read = Some((token, now));
+            self.next_read_at = now + read_interval(vm_count);
             let command =
                 TableCommand::Read { key: CONFIGURATION_KEY.to_owned(), known: self.known_version };
             effects.push(Effect::Table { token, command });
         }
         let Some(edit) = &self.edit else { return };
-        if now.since(edit.started) > SETTLE_LIMIT {
-            let outcome =
-                if edit.write_open { ApplyOutcome::Uncertain } else { ApplyOutcome::NotWritten };
+        if now.since(edit.started) > EDIT_TIMEOUT {
+            let outcome = if edit.write_unconfirmed {
+                ApplyOutcome::Uncertain
+            } else {
+                ApplyOutcome::NotWritten
+            };
             self.finish(ConfigurationEvent::Collided, outcome, effects);
             return;
         }
@@ -393,16 +404,17 @@
     }
 }
 
-/// What became of an answer of the table service.
+/// The result of handling an answer of the table service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TableHandling {
-    /// The answer was for this keeper.
+    /// Whether the answer belongs to a command of this manager.
     pub taken: bool,
-    /// A higher revision came into force by it.
+    /// Whether the answer changed the revision in force.
     pub adopted: bool,
 }
 
 impl ConfigurationRow {
+    /// Returns the row that stands for one that does not exist yet.
     fn absent() -> Self {
         Self {
             revision: Revision(0),
@@ -412,7 +424,8 @@
         }
     }
 
-    fn names(&self, operation: OperationId) -> bool {
+    /// Returns whether the row contains the edit `operation`, as the latest or an earlier one.
+    fn lists(&self, operation: OperationId) -> bool {
         self.operation == operation || self.recent.contains(&operation)
     }
 
@@ -427,11 +440,12 @@
 }
 
 impl PendingEdit {
-    /// The row to write: one revision above the row that was read, and above the one in force: the
-    /// platform may have restored an older row, and a revision that no VM takes would be lost.
+    /// Returns the row to write. Its revision is above both the row that was read and the revision
+    /// in force: after the platform has restored an older row, VMs would ignore a revision that is
+    /// only above that row, and the edit would be lost.
     fn written_row(&self) -> ConfigurationRow {
         let absent = ConfigurationRow::absent();
-        let before = self.target.as_ref().map_or(&absent, |(_, row)| row);
+        let before = self.base_row.as_ref().map_or(&absent, |(_, row)| row);
         let mut recent = vec![before.operation];
         recent.extend(before.recent.iter().copied());
         recent.retain(|operation| operation.0 != 0);
@@ -444,12 +458,14 @@
         }
     }
 
-    /// Returns whether a row that does not name this edit proves that it did not take effect. While
-    /// a write of it may have, only a row that descends from the one read does: the platform may
-    /// have restored an older row over the edit's.
+    /// Returns whether a row that does not list this edit proves that the edit did not take effect.
+    /// While a write is unconfirmed, only a row that succeeds the one read proves it, since the
+    /// platform may have restored an older row over the edit's.
     fn is_ruled_out_by(&self, found: &ConfigurationRow) -> bool {
-        let Some((_, read)) = self.target.as_ref().filter(|_| self.write_open) else { return true };
-        found.operation != read.operation && found.names(read.operation)
+        let Some((_, read)) = self.base_row.as_ref().filter(|_| self.write_unconfirmed) else {
+            return true;
+        };
+        found.operation != read.operation && found.lists(read.operation)
     }
 
     fn written_text(&self) -> ConfigurationText {
@@ -461,14 +477,16 @@
     }
 }
 
+/// Returns the interval between the reads of one VM, with which `vm_count` VMs together stay below
+/// [`TABLE_READS_PER_SECOND`].
 fn read_interval(vm_count: usize) -> Duration {
-    let spread = Duration::from_millis(vm_count as u64 * 1_000 / TABLE_READS_PER_SECOND);
-    spread.max(READ_LEAST)
+    let interval = Duration::from_millis(vm_count as u64 * 1_000 / TABLE_READS_PER_SECOND);
+    interval.max(MIN_READ_INTERVAL)
 }
 
-/// Reads a row; one that is not there counts as revision 0. Returns what operators are told of a row
-/// that cannot be read.
-fn read_row(row: Option<&TableRow>) -> Result<ConfigurationRow, Notice> {
+/// Decodes a row; a missing row counts as revision 0. Returns a notice for operators if the row
+/// cannot be decoded.
+fn decode_row(row: Option<&TableRow>) -> Result<ConfigurationRow, Notice> {
     let Some(row) = row else { return Ok(ConfigurationRow::absent()) };
     serde_json::from_str(&row.value)
         .map_err(|error| Notice::RowUnreadable { version: row.version, fault: error.to_string() })
