--- a/crates/ryetide-core/src/membership.rs
+++ b/crates/ryetide-core/src/membership.rs
@@ -42,7 +42,7 @@
     /// Its state.
     pub state: PeerState,
     /// When the last message from it was received.
-    pub heard: Moment,
+    pub last_received: Moment,
     /// The highest revision that it has reported to be in force there.
     pub revision: Revision,
     /// The loads of the scopes that it arbitrates.
@@ -122,7 +122,7 @@
             address: at,
             incarnation: None,
             state: chart::peer().initial(),
-            heard: Moment::default(),
+            last_received: Moment::default(),
             revision: Revision::default(),
             loads: Vec::new(),
             distrusted_until: Moment::default(),
@@ -172,7 +172,7 @@
         }
         peer.address = address;
         peer.incarnation = Some(incarnation);
-        peer.heard = now;
+        peer.last_received = now;
         if restarted {
             peer.loads.clear();
         }
@@ -204,7 +204,7 @@
         let mut silent = Vec::new();
         let timeout = self.silence_timeout();
         for peer in self.peers.values_mut() {
-            let timed_out = now.since(peer.heard) > timeout;
+            let timed_out = now.since(peer.last_received) > timeout;
             if timed_out && peer.state == PeerState::Alive {
                 chart::peer().advance(&mut peer.state, PeerEvent::Silent);
                 peer.loads.clear();
