--- a/crates/ryetide-core/src/entry_limit.rs
+++ b/crates/ryetide-core/src/entry_limit.rs
@@ -46,8 +46,8 @@
     }
 
     /// Records peers' reports on limits.
-    pub(crate) fn take_limits(&mut self, now: Moment, marks: &[LimitMark]) {
-        let new = marks.iter().filter(|mark| self.limits.take(now, **mark)).count();
+    pub(crate) fn take_limits(&mut self, now: Moment, reports: &[LimitMark]) {
+        let new = reports.iter().filter(|report| self.limits.take(now, **report)).count();
         if new > 0 {
             self.deal_limits(now);
         }
--- a/crates/ryetide-core/src/entry_word.rs
+++ b/crates/ryetide-core/src/entry_word.rs
@@ -69,10 +69,10 @@
     }
 
     /// Records peers' reports of leaving targets.
-    pub(crate) fn take_words(&mut self, now: Moment, marks: &[LeavingMark]) {
-        for mark in marks {
-            if self.words.take(now, *mark) {
-                self.mark_leaving(mark.target);
+    pub(crate) fn take_words(&mut self, now: Moment, reports: &[LeavingMark]) {
+        for report in reports {
+            if self.words.take(now, *report) {
+                self.mark_leaving(report.target);
             }
         }
     }
--- a/crates/ryetide-core/src/peer_board.rs
+++ b/crates/ryetide-core/src/peer_board.rs
@@ -196,11 +196,11 @@
     }
 
     /// Returns whether reachable peers have newer routes or targets than this VM, whose state is
-    /// `news`.
-    pub fn feed_lag(&self, now: Moment, news: FleetNews) -> FeedLag {
+    /// `state`.
+    pub fn feed_lag(&self, now: Moment, state: FleetNews) -> FeedLag {
         FeedLag {
-            routes: self.reachable(now).any(|record| record.revision > news.revision),
-            targets: self.reachable(now).any(|record| record.registry > news.registry_reached),
+            routes: self.reachable(now).any(|record| record.revision > state.revision),
+            targets: self.reachable(now).any(|record| record.registry > state.registry_reached),
         }
     }
 
@@ -216,12 +216,12 @@
     /// Returns the number of requests at peers in more urgent classes than `class`, and in the same
     /// class.
     pub fn ahead(&self, now: Moment, service: ServiceKey, class: ClaimClass) -> AheadCount {
-        let marks = self.reachable(now).flat_map(|record| record.waiting.iter());
+        let reports = self.reachable(now).flat_map(|record| record.waiting.iter());
         let mut ahead = AheadCount::default();
-        for mark in marks.filter(|mark| mark.service == service) {
-            match mark.class.cmp(&class) {
-                Ordering::Less => ahead.better += u32::from(mark.count),
-                Ordering::Equal => ahead.equal += u32::from(mark.count),
+        for report in reports.filter(|report| report.service == service) {
+            match report.class.cmp(&class) {
+                Ordering::Less => ahead.better += u32::from(report.count),
+                Ordering::Equal => ahead.equal += u32::from(report.count),
                 Ordering::Greater => {}
             }
         }
@@ -233,16 +233,19 @@
         let reachable =
             self.records.iter().filter(|(_, record)| now.since(record.received_at) < HEARD_SPAN);
         let claimants = reachable.filter_map(|(vm, record)| {
-            let marks = record.waiting.iter().filter(|mark| mark.service == service);
-            Some(PlaceClaimant { vm, class: marks.map(|mark| mark.class).min()? })
+            let reports = record.waiting.iter().filter(|report| report.service == service);
+            Some(PlaceClaimant { vm, class: reports.map(|report| report.class).min()? })
         });
         claimants.collect()
     }
 
     /// Returns the number of requests queued at peers for a service.
     pub fn waiting(&self, now: Moment, service: ServiceKey) -> u32 {
-        let marks = self.reachable(now).flat_map(|record| record.waiting.iter());
-        marks.filter(|mark| mark.service == service).map(|mark| u32::from(mark.count)).sum()
+        let reports = self.reachable(now).flat_map(|record| record.waiting.iter());
+        reports
+            .filter(|report| report.service == service)
+            .map(|report| u32::from(report.count))
+            .sum()
     }
 
     fn reachable(&self, now: Moment) -> impl Iterator<Item = &PeerRecord> {
--- a/crates/ryetide-core/src/scheduler_digests.rs
+++ b/crates/ryetide-core/src/scheduler_digests.rs
@@ -39,9 +39,9 @@
         // quota; its spending is charged to the grown buckets.
         self.note_peers(now);
         self.forget_dropped_reports(now, &from, &digest);
-        for mark in &digest.targets {
-            if let Some(load) = self.targets.get_mut(&mark.target) {
-                load.take_mark(now, &from, *mark);
+        for report in &digest.targets {
+            if let Some(load) = self.targets.get_mut(&report.target) {
+                load.take_mark(now, &from, *report);
                 load.refresh(now, &self.options.assumed);
             }
         }
@@ -61,7 +61,7 @@
 
     /// Forgets the earlier reports of a peer on targets that its newest full digest leaves out.
     fn forget_dropped_reports(&mut self, now: Moment, from: &VmName, digest: &LoadDigest) {
-        let reported = digest.targets.iter().map(|mark| mark.target);
+        let reported = digest.targets.iter().map(|report| report.target);
         if digest.scope != DigestScope::Whole {
             self.marked.entry(from.clone()).or_default().extend(reported);
             return;
@@ -78,7 +78,7 @@
     }
 
     /// Returns the digest for all peers outside this VM's cell.
-    pub fn brief_digest(&mut self, now: Moment, news: FleetNews, leaving: bool) -> LoadDigest {
+    pub fn brief_digest(&mut self, now: Moment, state: FleetNews, leaving: bool) -> LoadDigest {
         self.leaving |= leaving;
         LoadDigest {
             incarnation: self.options.incarnation,
@@ -86,12 +86,12 @@
             leaving,
             scope: DigestScope::Brief,
             data_centre: Some(self.options.data_centre.clone()),
-            revision: news.revision,
-            registry: news.registry,
-            watch: news.watch,
+            revision: state.revision,
+            registry: state.registry,
+            watch: state.watch,
             spent: self.quotas.ledger().totals().collect(),
             crashes: self.crashes.brief_news(now),
-            leaving_targets: news.leaving_targets,
+            leaving_targets: state.leaving_targets,
             rollouts: self.rollout_marks(now, true),
             limits: self.limits.told(now),
             ..LoadDigest::default()
@@ -121,8 +121,8 @@
 
     /// Returns the digest for the peers in this VM's cell: periodically a full one, in between one
     /// with the recent changes.
-    pub fn digest(&mut self, now: Moment, news: FleetNews, leaving: bool) -> LoadDigest {
-        let brief = self.brief_digest(now, news, leaving);
+    pub fn digest(&mut self, now: Moment, state: FleetNews, leaving: bool) -> LoadDigest {
+        let brief = self.brief_digest(now, state, leaving);
         let views = self.services.keys().filter_map(|name| self.view(now, name));
         let waiting = views.flat_map(|view| view.wait_marks()).collect();
         let scope = self.teller.next_scope(now, self.pace.change_span(), leaving);
--- a/crates/ryetide-core/src/target_limit.rs
+++ b/crates/ryetide-core/src/target_limit.rs
@@ -90,11 +90,13 @@
     }
 
     /// Records a peer's report. Returns whether the limit in force has changed.
-    pub fn take(&mut self, now: Moment, mark: LimitMark) -> bool {
-        let announced_at = now.before(Duration::from_millis(u64::from(mark.age_ms)));
-        let is_newer =
-            self.records.get(&mark.target).is_none_or(|record| announced_at > record.announced_at);
-        is_newer && self.insert(mark.target, LimitRecord { rate: mark.rate, announced_at })
+    pub fn take(&mut self, now: Moment, report: LimitMark) -> bool {
+        let announced_at = now.before(Duration::from_millis(u64::from(report.age_ms)));
+        let is_newer = self
+            .records
+            .get(&report.target)
+            .is_none_or(|record| announced_at > record.announced_at);
+        is_newer && self.insert(report.target, LimitRecord { rate: report.rate, announced_at })
     }
 
     fn insert(&mut self, target: TargetKey, record: LimitRecord) -> bool {
@@ -127,12 +129,12 @@
     pub fn told(&self, now: Moment) -> Vec<LimitMark> {
         let mut records: Vec<(&TargetKey, &LimitRecord)> = self.records.iter().collect();
         records.sort_by_key(|(_, record)| std::cmp::Reverse(record.announced_at));
-        let mark = |(target, record): (&TargetKey, &LimitRecord)| {
+        let report = |(target, record): (&TargetKey, &LimitRecord)| {
             let age_ms =
                 u32::try_from(now.since(record.announced_at).as_millis()).unwrap_or(u32::MAX);
             LimitMark { target: *target, rate: record.rate, age_ms }
         };
-        records.into_iter().take(REPORTED_LIMIT).map(mark).collect()
+        records.into_iter().take(REPORTED_LIMIT).map(report).collect()
     }
 
     /// Drops expired announcements. The limit of an existing target stays in force until the target
--- a/crates/ryetide-core/src/target_word.rs
+++ b/crates/ryetide-core/src/target_word.rs
@@ -105,9 +105,9 @@
     /// Records a peer's report; returns whether that is new. A repeated report does not extend the
     /// time for which a notice is remembered, because VMs would then keep the notice alive between
     /// them forever.
-    pub fn take(&mut self, now: Moment, mark: LeavingMark) -> bool {
-        let left = Duration::from_millis(u64::from(mark.left_ms)).min(NOTICE_TTL);
-        !left.is_zero() && !self.holds(mark.target) && self.insert(mark.target, now + left)
+    pub fn take(&mut self, now: Moment, report: LeavingMark) -> bool {
+        let left = Duration::from_millis(u64::from(report.left_ms)).min(NOTICE_TTL);
+        !left.is_zero() && !self.holds(report.target) && self.insert(report.target, now + left)
     }
 
     fn insert(&mut self, target: TargetKey, until: Moment) -> bool {
@@ -149,11 +149,11 @@
         now: Moment,
         unregistered: impl Iterator<Item = TargetKey>,
     ) -> Vec<LeavingMark> {
-        let mark = |target: TargetKey| {
+        let report = |target: TargetKey| {
             let left = self.expiries.get(&target)?.since(now);
             let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             Some(LeavingMark { target, left_ms })
         };
-        unregistered.filter_map(mark).take(REPORTED_LIMIT).collect()
+        unregistered.filter_map(report).take(REPORTED_LIMIT).collect()
     }
 }
