--- a/crates/ryetide-core/src/arbiter.rs
+++ b/crates/ryetide-core/src/arbiter.rs
@@ -81,7 +81,7 @@
     pub(crate) share: f64,
     /// Nothing is granted before this time.
     pub(crate) grant_from: Moment,
-    promise: RetryPromise,
+    retry_promise: RetryPromise,
     /// When a request of each tier was last shed because of load.
     last_shed: BTreeMap<TierRank, Moment>,
 }
@@ -112,7 +112,7 @@
             output: OutputGuess::default(),
             share,
             grant_from,
-            promise: RetryPromise::new(grant_from),
+            retry_promise: RetryPromise::new(grant_from),
             last_shed: BTreeMap::new(),
         };
         arbiter.configure(catalog);
@@ -309,7 +309,7 @@
         let slots: u32 = self.usable().map(|target| target.rule().slots).sum();
         let backlog = self.expected_wait(now, TierRank(u8::MAX));
         let work = self.held.mean_remaining(now) / slots.max(1);
-        let mut retry = self.promise.next(now, backlog, work, rng);
+        let mut retry = self.retry_promise.next(now, backlog, work, rng);
         if reason == RefuseReason::HeldOff {
             let back_off =
                 self.backed_off_until(now).map_or(Duration::ZERO, |until| until.since(now));
--- a/crates/ryetide-core/src/entry.rs
+++ b/crates/ryetide-core/src/entry.rs
@@ -174,7 +174,8 @@
     pub(crate) words: LeavingWords,
     /// The rate limits that targets announced in their answers.
     pub(crate) limits: LimitBook,
-    /// Targets in `words` that were missing from the platform's list when it was last read.
+    /// Targets that announced that they are leaving and were missing from the platform's list when
+    /// it was last read.
     pub(crate) unlisted_words: BTreeSet<TargetKey>,
     /// Crashes of targets, and the requests that were running at the time.
     pub(crate) crashes: CrashLedger,
--- a/crates/ryetide-core/src/entry_resume.rs
+++ b/crates/ryetide-core/src/entry_resume.rs
@@ -13,9 +13,9 @@
     units::Moment,
 };
 
-/// The delay before the first resume; it doubles with each resume that yields no new bytes.
+/// The delay before the first resume; it doubles with each resume that returns no new bytes.
 const FIRST_RESUME_DELAY: Duration = Duration::from_millis(50);
-/// The maximum number of consecutive resumes that yield no new bytes.
+/// The maximum number of consecutive resumes that return no new bytes.
 const MAX_IDLE_RESUMES: u32 = 7;
 
 impl EntryCore {
