--- a/crates/ryetide-core/src/arbiter.rs
+++ b/crates/ryetide-core/src/arbiter.rs
@@ -170,7 +170,7 @@
     }
 
     /// Handles a slot request: grants it, queues it, or refuses it at once if it cannot be served.
-    pub fn request_slot(
+    pub fn ask(
         &mut self,
         now: Moment,
         request: SlotAsk,
--- a/crates/ryetide-core/tests/arbiter.rs
+++ b/crates/ryetide-core/tests/arbiter.rs
@@ -87,7 +87,7 @@
             deadline: now + Duration::from_millis(deadline),
             waited: Duration::ZERO,
         };
-        self.arbiter.request_slot(now, ask, &mut self.rng, &mut self.verdicts);
+        self.arbiter.ask(now, ask, &mut self.rng, &mut self.verdicts);
         self.next
     }
 
