--- a/crates/ryetide-core/tests/crash_ledger.rs
+++ b/crates/ryetide-core/tests/crash_ledger.rs
@@ -54,9 +54,10 @@
     let standing = ledger.standing(at(2_000) + SETTLED, CRASHING, TARGETS);
     assert_eq!(standing, RequestStanding::Quarantined(QUARANTINE_LIFE));
     let changes = ledger.take_news();
-    assert!(
-        matches!(changes[..], [QuarantineNews::Blamed(CRASHING, evidence)] if evidence.crashes == 3)
-    );
+    assert!(matches!(
+        changes[..],
+        [QuarantineNews::Blamed(CRASHING, evidence)] if evidence.crashes == 3
+    ));
 }
 
 /// All crashes of a target that restarts under its old name count, but reports of two VMs of the
--- a/crates/ryetide-core/tests/rollout/fleet.rs
+++ b/crates/ryetide-core/tests/rollout/fleet.rs
@@ -406,7 +406,7 @@
             reachable.map(|(other, _)| self.vms[*other].name.clone()).collect();
         for duty in self.vms[vm].manager.duties(self.now, &others) {
             let age = self.first_seen.map(|at| self.now.since(at));
-            let word = match (duty.task, self.status()) {
+            let status = match (duty.task, self.status()) {
                 (_, Some(written)) if written != RolloutWord::Running => written,
                 (RolloutTask::Open, Some(written)) => written,
                 (RolloutTask::Open, None) => {
@@ -420,8 +420,13 @@
                 (RolloutTask::End(result), _) => self.write(result),
             };
             let passed = self.passed;
-            let report =
-                RolloutReport { service: service(), number: duty.order.number, word, age, passed };
+            let report = RolloutReport {
+                service: service(),
+                number: duty.order.number,
+                word: status,
+                age,
+                passed,
+            };
             self.vms[vm].manager.take_report(self.now, &report);
         }
     }
--- a/crates/ryetide-core/tests/rollout/placement.rs
+++ b/crates/ryetide-core/tests/rollout/placement.rs
@@ -67,9 +67,9 @@
     scheduler
 }
 
-fn report(scheduler: &mut Scheduler, now: Moment, word: RolloutWord, passed: bool) {
+fn report(scheduler: &mut Scheduler, now: Moment, status: RolloutWord, passed: bool) {
     let (service, number) = (fleet::service(), OrderNumber(1));
-    let report = RolloutReport { service, number, word, age: None, passed };
+    let report = RolloutReport { service, number, word: status, age: None, passed };
     scheduler.with_rollouts(now, |manager, now| manager.take_report(now, &report));
 }
 
--- a/crates/ryetide-core/tests/rollout/versions.rs
+++ b/crates/ryetide-core/tests/rollout/versions.rs
@@ -38,11 +38,11 @@
     RolloutOrder { service, to: to.into(), duration: Duration::from_secs(20), number }
 }
 
-fn report(number: u64, word: RolloutWord) -> RolloutReport {
+fn report(number: u64, status: RolloutWord) -> RolloutReport {
     RolloutReport {
         service: fleet::service(),
         number: OrderNumber(number),
-        word,
+        word: status,
         age: None,
         passed: false,
     }
