--- a/crates/ryetide-core/src/crash_ledger.rs
+++ b/crates/ryetide-core/src/crash_ledger.rs
@@ -3,10 +3,10 @@
 //!
 //! A request that crashes every target that runs it is retried, with a new id and at any VM. Each
 //! VM records the runs that ended in a crash and reports them to the other VMs.
-//! [`crash_blame`](crate::crash_blame) decides which request caused the crashes. That request is
-//! quarantined: all attempts of it are refused at once and reach no target, until none has arrived
-//! for [`QUARANTINE_LIFE`]. A completed answer clears its request at every VM, since a request that
-//! crashes targets never gets one.
+//! [`crash_blame`](crate::crash_blame) decides which request caused the crashes.
+//! That request is quarantined: all attempts of it are refused at once and reach no target, until
+//! none has arrived for [`QUARANTINE_LIFE`]. A completed answer clears its request at every VM,
+//! since a request that crashes targets never gets one.
 //!
 //! Reports between VMs may be lost, late or duplicated. Records are therefore only added, and each
 //! is identified by a target and the time of its crash, so that all VMs converge on the same
