--- a/crates/ryetide-core/src/affinity.rs
+++ b/crates/ryetide-core/src/affinity.rs
@@ -52,7 +52,7 @@
 
 impl PrefixHints {
     /// Records that `target` processes these prefixes or reports them to be in its cache.
-    pub fn note(&mut self, now: Moment, target: TargetKey, prefixes: &[u32]) {
+    pub fn record(&mut self, now: Moment, target: TargetKey, prefixes: &[u32]) {
         for prefix in prefixes {
             let holders = self.holders.entry(*prefix).or_default();
             match holders.iter_mut().find(|(holder, _)| *holder == target) {
@@ -92,7 +92,7 @@
     }
 
     /// Removes all hints for a target.
-    pub fn forget(&mut self, target: TargetKey) {
+    pub fn remove_target(&mut self, target: TargetKey) {
         self.by_age.retain(|(_, _, holder)| *holder != target);
         self.holders.retain(|_, holders| {
             holders.retain(|(holder, _)| *holder != target);
--- a/crates/ryetide-core/src/arbiter.rs
+++ b/crates/ryetide-core/src/arbiter.rs
@@ -17,21 +17,21 @@
     affinity::PrefixHints,
     catalog::{ServiceCatalog, TierRule},
     chart::TargetEvent,
-    effect::Notice,
-    estimate::TargetModel,
+    effect::OperatorNotice,
     event::LoadReport,
     ids::{OrganisationKey, ScopeKey, TargetKey, VmName},
     limit_part::{self, TargetLimit},
-    message::{AskProfile, RefuseReason, ReleaseMessage, ReleaseOutcome, ScopeLoad},
+    message::{RefuseReason, ReleaseMessage, ReleaseOutcome, RequestProfile, ScopeLoad},
     output_guess::OutputGuess,
     queue::{FairQueue, QueuePosition, QueueTicket},
     retry::RetryPromise,
     safeguard::SafeguardSwitches,
     slot_ledger::{HeldSlot, SlotLedger},
+    slot_request::{ArbiterVerdict, RequestKey, SlotRequest, VerdictKind},
+    target_estimate::TargetEstimate,
     target_limit::LimitBook,
     units::{Moment, ShareWeight, TierRank},
     util,
-    verdict::{ArbiterVerdict, AskKey, SlotAsk, VerdictKind},
 };
 
 /// The longest prefill backlog of an engine at which it is granted another request, for all but the
@@ -46,7 +46,7 @@
 /// A slot request that waits in the queue.
 #[derive(Debug)]
 pub(crate) struct QueuedRequest {
-    pub(crate) profile: AskProfile,
+    pub(crate) profile: RequestProfile,
     pub(crate) position: QueuePosition,
     /// The request is shed if it has no slot by then.
     pub(crate) latest_start: Moment,
@@ -69,11 +69,11 @@
     switches: SafeguardSwitches,
     tiers: Vec<TierLimit>,
     weights: BTreeMap<OrganisationKey, ShareWeight>,
-    pub(crate) targets: BTreeMap<TargetKey, TargetModel>,
-    pub(crate) waiting: BTreeMap<AskKey, QueuedRequest>,
+    pub(crate) targets: BTreeMap<TargetKey, TargetEstimate>,
+    pub(crate) waiting: BTreeMap<RequestKey, QueuedRequest>,
     /// The waiting requests by their latest start, to find those that must be shed.
-    pub(crate) by_latest_start: BTreeSet<(Moment, AskKey)>,
-    pub(crate) queue: FairQueue<AskKey>,
+    pub(crate) by_latest_start: BTreeSet<(Moment, RequestKey)>,
+    pub(crate) queue: FairQueue<RequestKey>,
     pub(crate) held: SlotLedger,
     pub(crate) hints: PrefixHints,
     pub(crate) output: OutputGuess,
@@ -129,12 +129,12 @@
         for rule in catalog.targets_of(self.scope) {
             let key = TargetKey::of(&rule.name);
             let mut model =
-                self.targets.remove(&key).unwrap_or_else(|| TargetModel::new(rule.clone()));
+                self.targets.remove(&key).unwrap_or_else(|| TargetEstimate::new(rule.clone()));
             model.set_rule(rule.clone());
             targets.insert(key, model);
         }
         for removed in self.targets.keys() {
-            self.hints.forget(*removed);
+            self.hints.remove_target(*removed);
         }
         self.targets = targets;
     }
@@ -146,7 +146,7 @@
 
     /// Returns whether any target can be granted, now or after a pause.
     pub fn has_usable_target(&self) -> bool {
-        self.targets.values().any(TargetModel::is_usable)
+        self.targets.values().any(TargetEstimate::is_usable)
     }
 
     /// Returns the number of waiting requests.
@@ -160,7 +160,7 @@
     }
 
     /// Returns the estimates of the scope's targets.
-    pub fn targets(&self) -> impl Iterator<Item = &TargetModel> {
+    pub fn targets(&self) -> impl Iterator<Item = &TargetEstimate> {
         self.targets.values()
     }
 
@@ -173,7 +173,7 @@
     pub fn ask(
         &mut self,
         now: Moment,
-        request: SlotAsk,
+        request: SlotRequest,
         rng: &mut impl Rng,
         verdicts: &mut Vec<ArbiterVerdict>,
     ) {
@@ -193,8 +193,8 @@
     }
 
     /// Queues a slot request unless it is certain that it cannot be served in time.
-    fn enqueue(&mut self, now: Moment, request: SlotAsk) -> Result<(), RefuseReason> {
-        let SlotAsk { key, profile, deadline, waited } = request;
+    fn enqueue(&mut self, now: Moment, request: SlotRequest) -> Result<(), RefuseReason> {
+        let SlotRequest { key, profile, deadline, waited } = request;
         let tier = profile.tier;
         let limit = self.tiers.get(usize::from(tier.0)).ok_or(RefuseReason::ServiceGone)?;
         let budget = limit.wait.saturating_sub(waited);
@@ -216,7 +216,7 @@
         if self.targets.values().all(|target| target.rule().tokens.0 < need.0) {
             return Err(RefuseReason::TooLarge);
         }
-        let speed_known = self.usable().any(TargetModel::is_speed_known);
+        let speed_known = self.usable().any(TargetEstimate::is_speed_known);
         let work = if speed_known { self.expected_service(now, &profile) } else { Duration::ZERO };
         let left = deadline.since(now);
         if work > left {
@@ -282,7 +282,7 @@
     fn refuse(
         &mut self,
         now: Moment,
-        key: AskKey,
+        key: RequestKey,
         (reason, tier): (RefuseReason, TierRank),
         rng: &mut impl Rng,
         verdicts: &mut Vec<ArbiterVerdict>,
@@ -301,7 +301,7 @@
     fn refuse_one(
         &mut self,
         now: Moment,
-        key: AskKey,
+        key: RequestKey,
         reason: RefuseReason,
         rng: &mut impl Rng,
         verdicts: &mut Vec<ArbiterVerdict>,
@@ -345,19 +345,20 @@
         }
         let ahead = self.waiting.values().filter(|request| request.profile.tier <= tier).count();
         let first = self.backed_off_until(now).map_or(Duration::ZERO, |until| until.since(now));
-        Some(first + limit_part::time_for(ahead, self.usable().map(TargetModel::limit)))
+        Some(first + limit_part::time_for(ahead, self.usable().map(TargetEstimate::limit)))
     }
 
     /// Returns when the first usable target accepts work again, or `None` unless all of them
     /// request a back-off or have used up their rate limits.
     fn backed_off_until(&self, now: Moment) -> Option<Moment> {
-        let ends = self.usable().map(|target| Some(target.held_until(now)).filter(|at| *at > now));
+        let ends =
+            self.usable().map(|target| Some(target.backed_off_until(now)).filter(|at| *at > now));
         ends.collect::<Option<Vec<Moment>>>()?.into_iter().min()
     }
 
     /// Withdraws a slot request, and frees the slot if one was granted. The request no longer needs
     /// it because its caller is gone or it has asked another arbiter.
-    pub fn withdraw(&mut self, now: Moment, key: &AskKey, verdicts: &mut Vec<ArbiterVerdict>) {
+    pub fn withdraw(&mut self, now: Moment, key: &RequestKey, verdicts: &mut Vec<ArbiterVerdict>) {
         self.remove_waiting(key);
         if let Some(slot) = self.held.take(key) {
             self.release_at_target(now, &slot);
@@ -373,9 +374,9 @@
         vm: &VmName,
         message: &ReleaseMessage,
         verdicts: &mut Vec<ArbiterVerdict>,
-        notices: &mut Vec<Notice>,
+        notices: &mut Vec<OperatorNotice>,
     ) {
-        let key = AskKey { vm: vm.clone(), ask: message.ask };
+        let key = RequestKey { vm: vm.clone(), ask: message.ask };
         let Some(slot) = self.held.take(&key) else {
             return;
         };
@@ -386,10 +387,10 @@
                 ReleaseOutcome::Completed => {
                     let first = Duration::from_millis(u64::from(message.first_piece_ms));
                     let total = Duration::from_millis(u64::from(message.total_ms));
-                    target.note_answer();
+                    target.record_answer();
                     // The time to the first piece, without the wait for earlier prompts.
                     let prefill = first.saturating_sub(slot.backlog);
-                    target.learn(
+                    target.record_completion(
                         slot.prompt,
                         message.output,
                         prefill,
@@ -398,19 +399,19 @@
                     self.output.learn(slot.output_limit, message.output);
                 }
                 ReleaseOutcome::ConnectFailed => {
-                    if target.note_failure(now) {
-                        notices.push(Notice::TargetSuspect(name));
+                    if target.record_failure(now) {
+                        notices.push(OperatorNotice::TargetSuspect(name));
                     }
                 }
                 ReleaseOutcome::TargetLeaving => {
                     if target.handle(TargetEvent::Leaving) {
-                        notices.push(Notice::TargetLeaving(name));
+                        notices.push(OperatorNotice::TargetLeaving(name));
                     }
                 }
                 ReleaseOutcome::HeldOff(span_ms) => {
-                    target.hold_off(now, Duration::from_millis(u64::from(span_ms)));
+                    target.back_off(now, Duration::from_millis(u64::from(span_ms)));
                 }
-                ReleaseOutcome::Failed => target.note_reached(),
+                ReleaseOutcome::Failed => target.record_reached(),
                 ReleaseOutcome::Unused => {}
             }
         }
@@ -421,9 +422,9 @@
     pub fn record_held_slot(
         &mut self,
         now: Moment,
-        key: AskKey,
+        key: RequestKey,
         target: TargetKey,
-        profile: &AskProfile,
+        profile: &RequestProfile,
         running: Duration,
     ) {
         if self.held.contains(&key) || !self.targets.contains_key(&target) {
@@ -440,33 +441,38 @@
         now: Moment,
         target: TargetKey,
         report: &LoadReport,
-        notices: &mut Vec<Notice>,
+        notices: &mut Vec<OperatorNotice>,
     ) {
         let Some(model) = self.targets.get_mut(&target) else {
             return;
         };
-        model.note_report(now, report);
-        model.note_answer();
-        self.hints.note(now, target, &report.cached);
+        model.record_report(now, report);
+        model.record_answer();
+        self.hints.record(now, target, &report.cached);
         if report.leaving && self.switches.leaving_respected {
             self.note_leaving(target, true, notices);
         }
     }
 
     /// Sets whether a target is leaving.
-    pub fn note_leaving(&mut self, target: TargetKey, leaving: bool, notices: &mut Vec<Notice>) {
+    pub fn note_leaving(
+        &mut self,
+        target: TargetKey,
+        leaving: bool,
+        notices: &mut Vec<OperatorNotice>,
+    ) {
         let Some(model) = self.targets.get_mut(&target) else {
             return;
         };
         let event = if leaving { TargetEvent::Leaving } else { TargetEvent::Stayed };
         if model.handle(event) && leaving {
-            notices.push(Notice::TargetLeaving(model.rule().name.clone()));
+            notices.push(OperatorNotice::TargetLeaving(model.rule().name.clone()));
         }
     }
 
     /// Removes all waiting requests and slots of a VM that died or restarted.
     pub fn remove_vm(&mut self, now: Moment, vm: &VmName, verdicts: &mut Vec<ArbiterVerdict>) {
-        let waiting: Vec<AskKey> =
+        let waiting: Vec<RequestKey> =
             self.waiting.keys().filter(|key| key.vm == *vm).cloned().collect();
         for key in waiting {
             self.remove_waiting(&key);
@@ -480,8 +486,8 @@
     }
 
     /// Empties the queue and returns all waiting requests, so that they can ask the new arbiter.
-    pub fn drain_waiting(&mut self) -> Vec<AskKey> {
-        let keys: Vec<AskKey> = self.waiting.keys().cloned().collect();
+    pub fn drain_waiting(&mut self) -> Vec<RequestKey> {
+        let keys: Vec<RequestKey> = self.waiting.keys().cloned().collect();
         for key in &keys {
             self.remove_waiting(key);
         }
@@ -553,7 +559,7 @@
     }
 
     /// Returns the targets that can be granted, now or after a pause.
-    pub(crate) fn usable(&self) -> impl Iterator<Item = &TargetModel> {
+    pub(crate) fn usable(&self) -> impl Iterator<Item = &TargetEstimate> {
         self.targets.values().filter(|target| target.is_usable())
     }
 
@@ -577,7 +583,7 @@
     }
 
     /// Removes a request from the queue without a verdict.
-    fn remove_waiting(&mut self, key: &AskKey) {
+    fn remove_waiting(&mut self, key: &RequestKey) {
         let Some(request) = self.waiting.remove(key) else {
             return;
         };
--- a/crates/ryetide-core/src/arbiter_placing.rs
+++ b/crates/ryetide-core/src/arbiter_placing.rs
@@ -4,12 +4,12 @@
 
 use crate::{
     arbiter::{BACKLOG_LIMIT, ScopeArbiter},
-    estimate::TargetModel,
     ids::TargetKey,
-    message::AskProfile,
+    message::RequestProfile,
     slot_ledger::HeldSlot,
+    slot_request::{ArbiterVerdict, RequestKey, VerdictKind},
+    target_estimate::TargetEstimate,
     units::{Moment, TierRank, Tokens},
-    verdict::{ArbiterVerdict, AskKey, VerdictKind},
 };
 
 /// The maximum number of requests at the front of a tier that are tried for a free target.
@@ -35,7 +35,7 @@
     }
 
     /// Returns the request to grant next and its target.
-    fn next_placement(&mut self, now: Moment) -> Option<(AskKey, TargetKey)> {
+    fn next_placement(&mut self, now: Moment) -> Option<(RequestKey, TargetKey)> {
         let (_, tier) = self.queue.peek()?;
         let open = self.open_targets(now, tier);
         if open.is_empty() {
@@ -58,7 +58,7 @@
     fn open_targets(&mut self, now: Moment, tier: TierRank) -> Vec<TargetKey> {
         let (fill, share) = (self.fill_of(tier), self.share);
         let backlog_limit = self.backlog_limit(tier);
-        let is_open = |target: &mut TargetModel| {
+        let is_open = |target: &mut TargetEstimate| {
             target.has_slot(now, fill, share) && target.prefill_backlog(now) <= backlog_limit
         };
         let targets = self.targets.values_mut();
@@ -71,14 +71,14 @@
         &self,
         now: Moment,
         open: &[TargetKey],
-        profile: &AskProfile,
+        profile: &RequestProfile,
         deadline: Moment,
     ) -> Option<TargetKey> {
         let tokens = self.tokens_needed(profile);
         let output = self.expected_output(profile);
         let savings = self.hints.savings(now, &profile.prefixes);
         let candidates = open.iter().filter_map(|key| {
-            let target = self.targets.get(key).filter(|it| it.holds(self.share, tokens))?;
+            let target = self.targets.get(key).filter(|it| it.fits(self.share, tokens))?;
             let prefill = Tokens(profile.prompt.0.saturating_sub(savings.of(*key).0));
             let in_time = !target.is_speed_known()
                 || now + target.service_time(now, prefill, output) <= deadline;
@@ -101,9 +101,9 @@
         &mut self,
         now: Moment,
         started: Moment,
-        key: AskKey,
+        key: RequestKey,
         target: TargetKey,
-        profile: &AskProfile,
+        profile: &RequestProfile,
     ) {
         let tokens = self.tokens_needed(profile);
         let output = self.expected_output(profile);
@@ -114,7 +114,7 @@
         let expected_end = started + model.service_time(now, prefill, output);
         let backlog = model.prefill_backlog(now);
         model.reserve(now, tokens, prefill);
-        self.hints.note(now, target, &profile.prefixes);
+        self.hints.record(now, target, &profile.prefixes);
         let output_limit = profile.output_limit;
         let slot =
             HeldSlot { target, tokens, prompt: prefill, output_limit, expected_end, backlog };
@@ -122,17 +122,17 @@
     }
 
     /// Returns the number of tokens that the request is expected to generate.
-    fn expected_output(&self, profile: &AskProfile) -> Tokens {
+    fn expected_output(&self, profile: &RequestProfile) -> Tokens {
         self.output.expected(profile.output_limit)
     }
 
     /// Returns the number of tokens that a target must have free for the request.
-    pub(crate) fn tokens_needed(&self, profile: &AskProfile) -> Tokens {
+    pub(crate) fn tokens_needed(&self, profile: &RequestProfile) -> Tokens {
         Tokens(profile.prompt.0 + self.expected_output(profile).0)
     }
 
     /// Returns the expected service time at the fastest usable target.
-    pub(crate) fn expected_service(&self, now: Moment, profile: &AskProfile) -> Duration {
+    pub(crate) fn expected_service(&self, now: Moment, profile: &RequestProfile) -> Duration {
         let output = self.expected_output(profile);
         let times = self.usable().map(|target| target.service_time(now, profile.prompt, output));
         times.min().unwrap_or_default()
--- a/crates/ryetide-core/src/claim.rs
+++ b/crates/ryetide-core/src/claim.rs
@@ -18,7 +18,7 @@
     event::{TableAnswer, TableCommand, TableRow},
     ids::{Incarnation, RequestId, RequestSequence, TableToken, VmName},
     json_form,
-    message::{ClaimOutcome, KeptAnswer},
+    message::{ClaimOutcome, StoredAnswer},
     safeguard::SafeguardSwitches,
     units::Moment,
 };
@@ -69,7 +69,7 @@
     /// Whether a write was sent and its result is unknown.
     write_unconfirmed: bool,
     unanswered_writes: u32,
-    query_until: Option<Moment>,
+    query_deadline: Option<Moment>,
     /// Whether the request ended before the claim was held; the claim is then released as soon as
     /// its write succeeds.
     ended: bool,
@@ -91,7 +91,7 @@
 
 /// The claims and outcomes of one entry VM.
 #[derive(Debug)]
-pub struct ClaimKeeper {
+pub struct ClaimManager {
     vm: VmName,
     incarnation: Incarnation,
     switches: SafeguardSwitches,
@@ -105,7 +105,7 @@
     stored_bytes: usize,
 }
 
-impl ClaimKeeper {
+impl ClaimManager {
     /// Creates a manager without claims.
     pub fn new(vm: VmName, incarnation: Incarnation, switches: SafeguardSwitches) -> Self {
         Self {
@@ -139,7 +139,7 @@
             version: None,
             write_unconfirmed: false,
             unanswered_writes: 0,
-            query_until: None,
+            query_deadline: None,
             ended: false,
         };
         self.claims.insert(sequence, claim);
@@ -178,7 +178,7 @@
     }
 
     /// Handles an answer of the table service to a command for the claim of `sequence`.
-    pub fn handle_table(
+    pub fn handle_table_answer(
         &mut self,
         sequence: RequestSequence,
         answer: &TableAnswer,
@@ -287,15 +287,15 @@
     }
 
     /// Records that the holder was asked for the outcome and must answer before `until`.
-    pub fn await_query(&mut self, sequence: RequestSequence, until: Moment) {
+    pub fn set_query_deadline(&mut self, sequence: RequestSequence, until: Moment) {
         if let Some(claim) = self.claims.get_mut(&sequence) {
-            claim.query_until = Some(until);
+            claim.query_deadline = Some(until);
         }
     }
 
     /// Returns the time by which the holder of this request's key must answer a query.
-    pub fn query_until(&self, sequence: RequestSequence) -> Option<Moment> {
-        self.claims.get(&sequence)?.query_until
+    pub fn query_deadline(&self, sequence: RequestSequence) -> Option<Moment> {
+        self.claims.get(&sequence)?.query_deadline
     }
 
     /// Handles the outcome that the holder reported. "Not run" is final, so the key may be taken
@@ -309,7 +309,7 @@
         let Some(claim) = self.claims.get_mut(&sequence) else {
             return ClaimStep::Unavailable;
         };
-        claim.query_until = None;
+        claim.query_deadline = None;
         if outcome == ClaimOutcome::NotRun {
             let expected = claim.expected_version;
             return self.write(sequence, expected, token);
@@ -320,7 +320,11 @@
 
     /// Handles a holder that died or does not answer. It may have dispatched its request, or may do
     /// so after a pause, so the key is not taken over.
-    pub fn handle_no_holder(&mut self, sequence: RequestSequence, token: TableToken) -> ClaimStep {
+    pub fn handle_unreachable_holder(
+        &mut self,
+        sequence: RequestSequence,
+        token: TableToken,
+    ) -> ClaimStep {
         if !self.switches.claim_kept {
             return self.handle_outcome(sequence, ClaimOutcome::NotRun, token);
         }
@@ -341,7 +345,7 @@
 
     /// Stores a piece of an answer for repeats of the request. An answer that exceeds the size
     /// limits is dropped entirely.
-    pub fn keep_piece(&mut self, key: &str, bytes: &Bytes) {
+    pub fn store_piece(&mut self, key: &str, bytes: &Bytes) {
         let Some(record) = self.outcomes.get_mut(key) else {
             return;
         };
@@ -358,7 +362,7 @@
     }
 
     /// Stores the head of an answer for repeats of the request.
-    pub fn keep_head(&mut self, key: &str, status: u16, content_type: &str) {
+    pub fn store_head(&mut self, key: &str, status: u16, content_type: &str) {
         let record = self.outcomes.get_mut(key);
         if let Some(stored) = record.and_then(|record| record.stored.as_mut()) {
             stored.status = status;
@@ -399,11 +403,13 @@
     ) {
         let stored = self.outcomes.remove(key).and_then(|record| record.stored);
         let outcome = match (outcome, stored) {
-            (ClaimOutcome::Answered(_), Some(stored)) => ClaimOutcome::Answered(Some(KeptAnswer {
-                status: stored.status,
-                content_type: stored.content_type,
-                body: Bytes::from(stored.body),
-            })),
+            (ClaimOutcome::Answered(_), Some(stored)) => {
+                ClaimOutcome::Answered(Some(StoredAnswer {
+                    status: stored.status,
+                    content_type: stored.content_type,
+                    body: Bytes::from(stored.body),
+                }))
+            }
             (outcome, stored) => {
                 self.stored_bytes -= stored.map_or(0, |stored| stored.body.len());
                 outcome.clone()
--- a/crates/ryetide-core/src/configuration.rs
+++ b/crates/ryetide-core/src/configuration.rs
@@ -13,7 +13,7 @@
 use crate::{
     catalog::ServiceCatalog,
     chart::{self, ConfigurationEvent, ConfigurationState},
-    effect::{ApplyOutcome, Effect, EffectBuffer, Notice},
+    effect::{ApplyOutcome, Effect, EffectBuffer, OperatorNotice},
     event::{TableAnswer, TableCommand, TableRow},
     ids::{OperationId, TableToken, VmName},
     json_form,
@@ -67,7 +67,7 @@
 
 /// The configuration of one entry VM.
 #[derive(Debug)]
-pub struct ConfigurationKeeper {
+pub struct ConfigurationManager {
     switches: SafeguardSwitches,
     state: ConfigurationState,
     text: Option<ConfigurationText>,
@@ -83,7 +83,7 @@
     edit: Option<PendingEdit>,
 }
 
-impl ConfigurationKeeper {
+impl ConfigurationManager {
     /// Creates a manager with no configuration in force.
     pub fn new(switches: SafeguardSwitches) -> Self {
         Self {
@@ -134,20 +134,20 @@
             Ok(catalog) => self.catalog = catalog,
             Err(faults) => {
                 let (revision, fault) = (text.revision, faults.to_string());
-                effects.push(Effect::Note(Notice::RevisionUnreadable { revision, fault }));
+                effects.push(Effect::Note(OperatorNotice::RevisionUnreadable { revision, fault }));
                 return false;
             }
         }
         let revision = text.revision;
         self.text = Some(text);
         chart::configuration().advance(&mut self.state, ConfigurationEvent::Adopt);
-        effects.push(Effect::Note(Notice::RevisionInForce { revision, from_peer }));
+        effects.push(Effect::Note(OperatorNotice::RevisionInForce { revision, from_peer }));
         true
     }
 
     /// Returns whether to request the text of a peer that has `revision` in force. After a request
     /// this is `false` for a short time, in which the answer can arrive.
-    pub fn wants_from_peer(&mut self, now: Moment, revision: Revision) -> bool {
+    pub fn should_pull(&mut self, now: Moment, revision: Revision) -> bool {
         let should_pull = revision > self.revision() && now >= self.next_pull_at;
         if should_pull {
             self.next_pull_at = now + RETRY_DELAY;
@@ -195,24 +195,27 @@
 
     /// Handles an answer of the table service. Returns whether `token` belongs to a command of this
     /// manager, and whether the answer changed the revision in force.
-    pub fn handle_table(
+    pub fn handle_table_answer(
         &mut self,
         now: Moment,
         token: TableToken,
         answer: &TableAnswer,
         next_token: &mut impl FnMut() -> TableToken,
         effects: &mut EffectBuffer,
-    ) -> TableHandling {
+    ) -> TableAnswerHandling {
         if self.pending_read.is_some_and(|(own, _)| own == token) {
             self.pending_read = None;
-            return TableHandling { taken: true, adopted: self.adopt_row(answer, effects) };
+            return TableAnswerHandling {
+                consumed: true,
+                adopted: self.adopt_row(answer, effects),
+            };
         }
         if self.edit.as_ref().is_some_and(|edit| edit.token == token) {
             let before = self.revision();
             self.advance_edit(now, answer, next_token, effects);
-            return TableHandling { taken: true, adopted: self.revision() != before };
+            return TableAnswerHandling { consumed: true, adopted: self.revision() != before };
         }
-        TableHandling { taken: false, adopted: false }
+        TableAnswerHandling { consumed: false, adopted: false }
     }
 
     /// Puts the text of a row that was read in force if its revision is higher; returns whether it
@@ -232,8 +235,10 @@
         if found.revision < self.revision() {
             // The platform restored an older copy of the table. An accepted revision must not
             // revert.
-            let notice =
-                Notice::RevisionWentBack { found: found.revision, in_force: self.revision() };
+            let notice = OperatorNotice::RevisionWentBack {
+                found: found.revision,
+                in_force: self.revision(),
+            };
             effects.push(Effect::Note(notice));
         }
         self.adopt(found.into_text(), None, effects)
@@ -284,7 +289,7 @@
 
     /// Ends an edit because this process cannot read the row, which a newer build may have written.
     /// Treating it as absent would overwrite it, possibly with a lower revision.
-    fn finish_unreadable(&mut self, notice: Notice, effects: &mut EffectBuffer) {
+    fn finish_unreadable(&mut self, notice: OperatorNotice, effects: &mut EffectBuffer) {
         effects.push(Effect::Note(notice));
         let may_be_written = self.edit.as_ref().is_some_and(|edit| edit.write_unconfirmed);
         let outcome =
@@ -407,9 +412,9 @@
 
 /// The result of handling an answer of the table service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct TableHandling {
+pub struct TableAnswerHandling {
     /// Whether the answer belongs to a command of this manager.
-    pub taken: bool,
+    pub consumed: bool,
     /// Whether the answer changed the revision in force.
     pub adopted: bool,
 }
@@ -487,8 +492,10 @@
 
 /// Decodes a row; a missing row counts as revision 0. Returns a notice for operators if the row
 /// cannot be decoded.
-fn decode_row(row: Option<&TableRow>) -> Result<ConfigurationRow, Notice> {
+fn decode_row(row: Option<&TableRow>) -> Result<ConfigurationRow, OperatorNotice> {
     let Some(row) = row else { return Ok(ConfigurationRow::absent()) };
-    serde_json::from_str(&row.value)
-        .map_err(|error| Notice::RowUnreadable { version: row.version, fault: error.to_string() })
+    serde_json::from_str(&row.value).map_err(|error| OperatorNotice::RowUnreadable {
+        version: row.version,
+        fault: error.to_string(),
+    })
 }
--- a/crates/ryetide-core/src/effect.rs
+++ b/crates/ryetide-core/src/effect.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     crash_ledger::QuarantineNews,
-    event::{AnswerHead, FinalAnswer, TableCommand, TargetOrder, TargetRoute},
+    event::{AnswerHead, FinalAnswer, TableCommand, TargetOperation, TargetRoute},
     ids::{
         AttemptNumber, OperationId, OrganisationName, RequestId, RequestSequence, ServiceName,
         TableToken, TargetKey, TargetName, TierName, VmName,
@@ -58,7 +58,7 @@
         /// Which of its connections.
         attempt: AttemptNumber,
         /// What to send.
-        order: TargetOrder,
+        order: TargetOperation,
     },
     /// Closes a connection in any state.
     Abandon {
@@ -102,7 +102,7 @@
     /// Records a request that has ended in the metrics.
     Record(RequestSummary),
     /// Reports a notice to operators.
-    Note(Notice),
+    Note(OperatorNotice),
     /// Every request has ended and the process may exit.
     Drained,
 }
@@ -217,7 +217,7 @@
 
 /// A notice for operators, which the driver logs.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Notice {
+pub enum OperatorNotice {
     /// A revision came into force on this VM.
     RevisionInForce {
         /// The revision.
--- a/crates/ryetide-core/src/entry.rs
+++ b/crates/ryetide-core/src/entry.rs
@@ -21,21 +21,21 @@
 use crate::{
     arbiter::ScopeArbiter,
     chart::{self, DrainEvent, DrainState, RequestState},
-    claim::ClaimKeeper,
-    configuration::ConfigurationKeeper,
+    claim::ClaimManager,
+    configuration::ConfigurationManager,
     crash_ledger::CrashLedger,
-    effect::{Effect, EffectBuffer, Notice},
+    effect::{Effect, EffectBuffer, OperatorNotice},
     entry_standing::UnsettledRequest,
     event::{Event, ListedVm, TableAnswer},
     ids::{DataCentreName, Incarnation, RequestSequence, ScopeKey, TableToken, TargetKey, VmName},
     membership::PeerTable,
-    message::{LifeMark, MessageSender},
+    message::{IncarnationTag, MessageSender},
     request::RequestTable,
     safeguard::SafeguardSwitches,
+    slot_request::ArbiterVerdict,
     target_limit::LimitBook,
     target_word::LeavingWords,
     units::{Moment, Revision},
-    verdict::ArbiterVerdict,
 };
 
 /// The longest time between two steps, and the interval of periodic work.
@@ -162,8 +162,8 @@
     pub(crate) options: EntryOptions,
     pub(crate) rng: SmallRng,
     pub(crate) requests: RequestTable,
-    pub(crate) claims: ClaimKeeper,
-    pub(crate) configuration: ConfigurationKeeper,
+    pub(crate) claims: ClaimManager,
+    pub(crate) configuration: ConfigurationManager,
     pub(crate) peers: PeerTable,
     pub(crate) arbiters: BTreeMap<ScopeKey, ScopeArbiter>,
     /// The VM that arbitrates each scope of the catalog, as last computed.
@@ -183,7 +183,7 @@
     pub(crate) unsettled: Vec<UnsettledRequest>,
     pub(crate) watched: Vec<TargetKey>,
     pub(crate) verdicts: Vec<ArbiterVerdict>,
-    pub(crate) notices: Vec<Notice>,
+    pub(crate) notices: Vec<OperatorNotice>,
     pub(crate) heartbeat_at: Moment,
     drain: DrainState,
     next_token: u64,
@@ -197,13 +197,13 @@
         let (name, switches) = (options.name.clone(), options.switches);
         let mut peers = PeerTable::new(name.clone(), options.data_centre.clone());
         for peer in &options.peers {
-            peers.list(&peer.name, &peer.data_centre, peer.address);
+            peers.add_or_update(&peer.name, &peer.data_centre, peer.address);
         }
         Self {
             rng: SmallRng::seed_from_u64(options.seed),
             requests: RequestTable::new(),
-            claims: ClaimKeeper::new(name, options.incarnation, switches),
-            configuration: ConfigurationKeeper::new(switches),
+            claims: ClaimManager::new(name, options.incarnation, switches),
+            configuration: ConfigurationManager::new(switches),
             peers,
             arbiters: BTreeMap::new(),
             elected: BTreeMap::new(),
@@ -341,7 +341,7 @@
     }
 
     /// Returns the configuration, for operators.
-    pub fn configuration(&self) -> &ConfigurationKeeper {
+    pub fn configuration(&self) -> &ConfigurationManager {
         &self.configuration
     }
 
@@ -364,8 +364,8 @@
         TableToken(self.next_token)
     }
 
-    pub(crate) fn incarnation_tag(&self) -> LifeMark {
-        LifeMark(self.options.incarnation.0 as u16)
+    pub(crate) fn incarnation_tag(&self) -> IncarnationTag {
+        IncarnationTag(self.options.incarnation.0 as u16)
     }
 
     /// Handles everything that is due at `now`, and delivers the arbiters' decisions.
@@ -391,7 +391,7 @@
             }
         }
         self.deliver_verdicts(now, effects);
-        let quarantines = self.crashes.take_news().into_iter().map(Notice::Quarantine);
+        let quarantines = self.crashes.take_news().into_iter().map(OperatorNotice::Quarantine);
         for notice in self.notices.drain(..).chain(quarantines) {
             effects.push(Effect::Note(notice));
         }
@@ -439,7 +439,8 @@
             *next_token += 1;
             TableToken(*next_token)
         };
-        let handling = self.configuration.handle_table(now, token, answer, &mut tokens, effects);
+        let handling =
+            self.configuration.handle_table_answer(now, token, answer, &mut tokens, effects);
         if handling.adopted {
             self.apply_configuration(now, effects);
         }
@@ -447,7 +448,7 @@
 
     /// Handles the platform's list of VMs: updates the peers, and which targets are leaving.
     fn handle_list(&mut self, now: Moment, listed: &[ListedVm], effects: &mut EffectBuffer) {
-        if self.peers.take_list(listed) {
+        if self.peers.apply_list(listed) {
             effects.push(Effect::ConnectPeers(self.peers.addresses()));
             self.elect(now, effects);
         }
@@ -493,7 +494,7 @@
         for sequence in waiting {
             self.finish_draining(now, sequence, effects);
         }
-        self.peers.leave();
+        self.peers.set_leaving();
         self.elect(now, effects);
         self.send_heartbeats(now, effects);
     }
--- a/crates/ryetide-core/src/entry_admission.rs
+++ b/crates/ryetide-core/src/entry_admission.rs
@@ -11,7 +11,7 @@
     entry::EntryCore,
     event::{CallerRequest, FinalAnswer, RejectReason, TableAnswer, TableCommand, UnknownReason},
     ids::{AttemptNumber, OrganisationKey, RequestId, RequestSequence, ServiceKey, TableToken},
-    message::{AskProfile, AskRef, ClaimOutcome, PeerMessage, RefuseReason},
+    message::{ClaimOutcome, PeerMessage, RefuseReason, RequestProfile, RequestRef},
     request::RequestRecord,
     request_print::RequestPrint,
     target_word::TargetWord,
@@ -59,7 +59,7 @@
                     refusal: None,
                     attempt: AttemptNumber(0),
                     route: None,
-                    word: TargetWord::default(),
+                    notice: TargetWord::default(),
                     answer_limit: rule_limit,
                     connection_open: false,
                     dispatched: None,
@@ -86,7 +86,7 @@
     fn check_runnable(
         &self,
         request: &CallerRequest,
-    ) -> Result<(AskProfile, ByteSize), FinalAnswer> {
+    ) -> Result<(RequestProfile, ByteSize), FinalAnswer> {
         let not_run = |reason, retry| FinalAnswer::NotRun { reason, retry_after: Some(retry) };
         if self.is_draining() {
             return Err(not_run(RefuseReason::Draining, DRAINING_RETRY));
@@ -102,7 +102,10 @@
     }
 
     /// Validates a request and looks up the service, organisation and tier that it names.
-    fn resolve(&self, request: &CallerRequest) -> Result<(&ServiceRule, AskProfile), RejectReason> {
+    fn resolve(
+        &self,
+        request: &CallerRequest,
+    ) -> Result<(&ServiceRule, RequestProfile), RejectReason> {
         let catalog = self.configuration.catalog();
         let service_key = ServiceKey::of(&request.service.as_str().into());
         let service = catalog
@@ -125,7 +128,7 @@
         if request.call.body.len() as u64 > service.body_limit.0 {
             return Err(RejectReason::BodyTooLarge);
         }
-        let profile = AskProfile {
+        let profile = RequestProfile {
             service: service_key,
             organisation,
             tier,
@@ -183,7 +186,7 @@
     ) {
         let token = self.take_token();
         let mut tokens = || token;
-        let step = self.claims.handle_table(sequence, answer, &mut tokens);
+        let step = self.claims.handle_table_answer(sequence, answer, &mut tokens);
         self.apply_claim_step(now, sequence, step, token, effects);
     }
 
@@ -230,15 +233,15 @@
         let peer = self.peers.alive().find(|peer| peer.name == holder.vm);
         if peer.is_none_or(|peer| peer.incarnation != Some(holder.incarnation)) {
             let token = self.take_token();
-            let step = self.claims.handle_no_holder(sequence, token);
+            let step = self.claims.handle_unreachable_holder(sequence, token);
             self.apply_claim_step(now, sequence, step, token, effects);
             return;
         }
         let until = now + claim::QUERY_TIMEOUT;
-        self.claims.await_query(sequence, until);
+        self.claims.set_query_deadline(sequence, until);
         self.requests.set_wake(sequence, Some(until));
         let to = holder.vm.clone();
-        let ask = AskRef { life: self.incarnation_tag(), sequence };
+        let ask = RequestRef { incarnation: self.incarnation_tag(), sequence };
         effects.push(Effect::Send { to, message: PeerMessage::OutcomeQuery { holder, ask } });
     }
 
@@ -262,9 +265,9 @@
         sequence: RequestSequence,
         effects: &mut EffectBuffer,
     ) {
-        if self.claims.query_until(sequence).is_some_and(|until| now >= until) {
+        if self.claims.query_deadline(sequence).is_some_and(|until| now >= until) {
             let token = self.take_token();
-            let step = self.claims.handle_no_holder(sequence, token);
+            let step = self.claims.handle_unreachable_holder(sequence, token);
             self.apply_claim_step(now, sequence, step, token, effects);
             return;
         }
--- a/crates/ryetide-core/src/entry_dispatch.rs
+++ b/crates/ryetide-core/src/entry_dispatch.rs
@@ -13,7 +13,7 @@
     chart::{RequestEvent, RequestState},
     effect::{Effect, EffectBuffer},
     entry::EntryCore,
-    event::{AnswerHead, FinalAnswer, TargetOrder, UnknownReason},
+    event::{AnswerHead, FinalAnswer, TargetOperation, UnknownReason},
     ids::{AttemptNumber, RequestId, RequestSequence},
     message::{RefuseReason, ReleaseOutcome},
     request::RequestRecord,
@@ -96,7 +96,7 @@
         record.dispatched = Some(record.dispatched.unwrap_or(now));
         let (attempt, answer_limit) = (record.attempt, record.answer_limit);
         let (print, not_after) = (record.print, record.deadline);
-        let order = TargetOrder::Dispatch { id, call, print, answer_limit, not_after };
+        let order = TargetOperation::Dispatch { id, call, print, answer_limit, not_after };
         let wake = self.idle_timeout_at(now, sequence, wait);
         self.requests.set_wake(sequence, wake);
         effects.push(Effect::Permit { sequence, attempt, order });
@@ -200,7 +200,7 @@
         let bound = first_piece_timeout(record);
         self.note_head(now, sequence, effects);
         if let Some(key) = claim_key {
-            self.claims.keep_head(&key, head.status, &head.content_type);
+            self.claims.store_head(&key, head.status, &head.content_type);
         }
         let wake = self.idle_timeout_at(now, sequence, bound);
         self.requests.set_wake(sequence, wake);
@@ -257,7 +257,7 @@
         record.idle_resumes = 0;
         let (gone, claim_key) = (record.caller_gone, record.claim_key.clone());
         if let Some(key) = claim_key {
-            self.claims.keep_piece(&key, &fresh);
+            self.claims.store_piece(&key, &fresh);
         }
         let wake = self.idle_timeout_at(now, sequence, PIECE_TIMEOUT);
         self.requests.set_wake(sequence, wake);
--- a/crates/ryetide-core/src/entry_election.rs
+++ b/crates/ryetide-core/src/entry_election.rs
@@ -10,11 +10,11 @@
     entry_slot::route_to,
     event::TargetRoute,
     ids::{RequestSequence, ScopeKey, TargetKey},
-    message::{AskRef, HoldingMessage, PeerMessage, RefuseReason},
+    message::{HeldSlotMessage, PeerMessage, RefuseReason, RequestRef},
     request::SlotSource,
+    slot_request::{ArbiterVerdict, RequestKey, VerdictKind},
     units::Moment,
     util,
-    verdict::{ArbiterVerdict, AskKey, VerdictKind},
 };
 
 /// How long a newly elected arbiter grants nothing, so that its peers can first report the slots in
@@ -140,13 +140,13 @@
             }
             return;
         };
-        let ask = AskRef { life: self.incarnation_tag(), sequence };
+        let ask = RequestRef { incarnation: self.incarnation_tag(), sequence };
         let running = record.dispatched.map_or(Duration::ZERO, |at| now.since(at));
         let profile = record.profile.clone();
         let elected = self.elected.get(&scope).cloned().flatten();
         let source = match elected {
             Some(name) if name != self.options.name => {
-                let message = PeerMessage::Holding(HoldingMessage {
+                let message = PeerMessage::Holding(HeldSlotMessage {
                     ask,
                     data_centre: scope.data_centre,
                     target,
@@ -158,7 +158,7 @@
             }
             _ => {
                 self.ensure_arbiter(now, scope, effects);
-                let key = AskKey { vm: self.options.name.clone(), ask };
+                let key = RequestKey { vm: self.options.name.clone(), ask };
                 if let Some(arbiter) = self.arbiters.get_mut(&scope) {
                     arbiter.record_held_slot(now, key, target, &profile, running);
                 }
--- a/crates/ryetide-core/src/entry_limit.rs
+++ b/crates/ryetide-core/src/entry_limit.rs
@@ -1,7 +1,7 @@
 //! Applies the limits that targets announce to the arbiters of an entry VM.
 
 use crate::{
-    effect::{Effect, EffectBuffer, Notice},
+    effect::{Effect, EffectBuffer, OperatorNotice},
     entry::EntryCore,
     ids::{RequestSequence, ScopeKey, TargetKey},
     message::PeerMessage,
@@ -24,7 +24,7 @@
         let sent_at = self.requests.get(sequence).and_then(|record| record.dispatched);
         if self.limits.note(now, target, notice, sent_at.unwrap_or_default()) {
             let limit = self.limits.rate(target);
-            self.notices.push(Notice::TargetLimit { sequence, target, limit });
+            self.notices.push(OperatorNotice::TargetLimit { sequence, target, limit });
             self.deal_limits(now);
             self.tell_limits(now, effects);
         }
@@ -40,7 +40,7 @@
     ) {
         let Some(record) = self.requests.get(sequence) else { return };
         let Some(target) = record.slot.as_ref().and_then(|slot| slot.target) else { return };
-        if record.word.limit == LimitWord::Unnamed && self.limits.rate(target).is_some() {
+        if record.notice.limit == LimitWord::Unnamed && self.limits.rate(target).is_some() {
             self.note_limit(now, sequence, target, LimitWord::Unnamed, effects);
         }
     }
--- a/crates/ryetide-core/src/entry_peer.rs
+++ b/crates/ryetide-core/src/entry_peer.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use crate::{
-    effect::{Effect, EffectBuffer, Notice},
+    effect::{Effect, EffectBuffer, OperatorNotice},
     entry::EntryCore,
     message::{
-        self, AskMessage, AskRef, HeartbeatMessage, HoldingMessage, MessageSender, PeerMessage,
-        RefuseMessage, RefuseReason, ReleaseMessage,
+        self, HeartbeatMessage, HeldSlotMessage, MessageSender, PeerMessage, RefuseMessage,
+        RefuseReason, ReleaseMessage, RequestRef, SlotRequestMessage,
     },
     request::SlotSource,
+    slot_request::{RequestKey, SlotRequest},
     units::Moment,
-    verdict::{AskKey, SlotAsk},
 };
 
 impl EntryCore {
@@ -35,7 +35,7 @@
                 self.handle_slot_request(now, sender, request, effects);
             }
             PeerMessage::Withdraw { ask, scope } => {
-                let key = AskKey { vm: sender.name.clone(), ask };
+                let key = RequestKey { vm: sender.name.clone(), ask };
                 if let Some(arbiter) = self.arbiters.get_mut(&scope) {
                     arbiter.withdraw(now, &key, &mut self.verdicts);
                 }
@@ -68,7 +68,7 @@
             PeerMessage::Limits(marks) => self.take_limits(now, &marks),
             PeerMessage::Crashes(news) => self.crashes.take(now, &news),
             PeerMessage::OutcomeReply { ask, outcome } => {
-                let awaited = self.claims.query_until(ask.sequence).is_some();
+                let awaited = self.claims.query_deadline(ask.sequence).is_some();
                 if self.is_for_this_incarnation(ask) && awaited {
                     self.apply_outcome(now, ask.sequence, outcome, effects);
                 }
@@ -78,8 +78,8 @@
 
     /// Returns whether a reply is meant for this incarnation of the VM. In a reply to an earlier
     /// one, the sequence number may belong to a different request.
-    fn is_for_this_incarnation(&self, ask: AskRef) -> bool {
-        !self.options.switches.life_check || ask.life == self.incarnation_tag()
+    fn is_for_this_incarnation(&self, ask: RequestRef) -> bool {
+        !self.options.switches.life_check || ask.incarnation == self.incarnation_tag()
     }
 
     /// Records that a peer is alive. A new incarnation of the peer frees all slots that its
@@ -87,7 +87,8 @@
     fn record_sender(&mut self, now: Moment, sender: &MessageSender, effects: &mut EffectBuffer) {
         let (name, centre) = (&sender.name, &sender.data_centre);
         let known = self.peers.get(name).is_some();
-        let change = self.peers.hear(now, name, sender.incarnation, centre, sender.address);
+        let change =
+            self.peers.record_message(now, name, sender.incarnation, centre, sender.address);
         if !known || change.restarted {
             effects.push(Effect::ConnectPeers(self.peers.addresses()));
         }
@@ -100,7 +101,7 @@
             self.crashes.retell(now);
         }
         if change.appeared {
-            effects.push(Effect::Note(Notice::PeerHeard(name.clone())));
+            effects.push(Effect::Note(OperatorNotice::PeerHeard(name.clone())));
             self.heartbeat_at = now;
             self.elect(now, effects);
         }
@@ -115,10 +116,10 @@
         effects: &mut EffectBuffer,
     ) {
         let HeartbeatMessage { revision, leaving, loads } = heartbeat;
-        if self.peers.note_heartbeat(&sender.name, revision, loads, leaving) {
+        if self.peers.record_heartbeat(&sender.name, revision, loads, leaving) {
             self.elect(now, effects);
         }
-        if self.configuration.wants_from_peer(now, revision) {
+        if self.configuration.should_pull(now, revision) {
             let message = PeerMessage::ConfigurationPull;
             effects.push(Effect::Send { to: sender.name.clone(), message });
         }
@@ -147,7 +148,7 @@
     pub(crate) fn expire_silent_peers(&mut self, now: Moment, effects: &mut EffectBuffer) {
         let silent = self.peers.find_silent(now);
         for name in &silent {
-            effects.push(Effect::Note(Notice::PeerSilent(name.clone())));
+            effects.push(Effect::Note(OperatorNotice::PeerSilent(name.clone())));
             for arbiter in self.arbiters.values_mut() {
                 arbiter.remove_vm(now, name, &mut self.verdicts);
             }
@@ -177,7 +178,7 @@
         &mut self,
         now: Moment,
         sender: &MessageSender,
-        request: AskMessage,
+        request: SlotRequestMessage,
         effects: &mut EffectBuffer,
     ) {
         let scope = message::scope_of(request.profile.service, request.data_centre);
@@ -192,8 +193,8 @@
         let Some(arbiter) = self.arbiters.get_mut(&scope) else {
             return;
         };
-        let slot_request = SlotAsk {
-            key: AskKey { vm: sender.name.clone(), ask: request.ask },
+        let slot_request = SlotRequest {
+            key: RequestKey { vm: sender.name.clone(), ask: request.ask },
             profile: request.profile,
             deadline: now + Duration::from_millis(u64::from(request.deadline_ms)),
             waited: Duration::from_millis(u64::from(request.waited_ms)),
@@ -214,7 +215,7 @@
         &mut self,
         now: Moment,
         sender: &MessageSender,
-        holding: HoldingMessage,
+        holding: HeldSlotMessage,
         effects: &mut EffectBuffer,
     ) {
         let scope = message::scope_of(holding.profile.service, holding.data_centre);
@@ -222,7 +223,7 @@
             return;
         }
         self.ensure_arbiter(now, scope, effects);
-        let key = AskKey { vm: sender.name.clone(), ask: holding.ask };
+        let key = RequestKey { vm: sender.name.clone(), ask: holding.ask };
         let running = Duration::from_millis(u64::from(holding.running_ms));
         if let Some(arbiter) = self.arbiters.get_mut(&scope) {
             arbiter.record_held_slot(now, key, holding.target, &holding.profile, running);
@@ -230,7 +231,7 @@
     }
 
     /// Records that a peer queued a slot request of this VM, which then waits until its deadline.
-    fn handle_queued(&mut self, sender: &MessageSender, ask: AskRef) {
+    fn handle_queued(&mut self, sender: &MessageSender, ask: RequestRef) {
         if !self.is_for_this_incarnation(ask) {
             return;
         }
@@ -288,11 +289,11 @@
         for scope in removed {
             if let Some(mut arbiter) = self.arbiters.remove(&scope) {
                 for key in arbiter.drain_waiting() {
-                    let kind = crate::verdict::VerdictKind::Refuse(
+                    let kind = crate::slot_request::VerdictKind::Refuse(
                         RefuseReason::ServiceGone,
                         Duration::ZERO,
                     );
-                    self.verdicts.push(crate::verdict::ArbiterVerdict { key, kind });
+                    self.verdicts.push(crate::slot_request::ArbiterVerdict { key, kind });
                 }
             }
         }
--- a/crates/ryetide-core/src/entry_resume.rs
+++ b/crates/ryetide-core/src/entry_resume.rs
@@ -8,7 +8,7 @@
     effect::{Effect, EffectBuffer},
     entry::EntryCore,
     entry_dispatch::{LATE_ANSWER_GRACE, PIECE_TIMEOUT},
-    event::{TargetOrder, UnknownReason},
+    event::{TargetOperation, UnknownReason},
     ids::{AttemptNumber, RequestSequence},
     units::Moment,
 };
@@ -34,7 +34,7 @@
         let (attempt, offset) = (record.attempt, record.received);
         let wake = self.idle_timeout_at(now, sequence, PIECE_TIMEOUT);
         self.requests.set_wake(sequence, wake);
-        let order = TargetOrder::Resume { id, offset };
+        let order = TargetOperation::Resume { id, offset };
         effects.push(Effect::Permit { sequence, attempt, order });
     }
 
--- a/crates/ryetide-core/src/entry_slot.rs
+++ b/crates/ryetide-core/src/entry_slot.rs
@@ -6,19 +6,19 @@
 use crate::{
     catalog::{ServiceKind, TargetRule},
     chart::RequestEvent,
-    effect::{Effect, EffectBuffer, Notice},
+    effect::{Effect, EffectBuffer, OperatorNotice},
     entry::EntryCore,
     event::TargetRoute,
     ids::{AttemptNumber, DataCentreKey, RequestSequence, ScopeKey, ServiceKey, TargetKey, VmName},
     message::{
-        AskMessage, AskRef, PeerMessage, RefuseMessage, RefuseReason, ReleaseMessage,
-        ReleaseOutcome, ScopeLoad,
+        PeerMessage, RefuseMessage, RefuseReason, ReleaseMessage, ReleaseOutcome, RequestRef,
+        ScopeLoad, SlotRequestMessage,
     },
-    request::{SlotClaim, SlotSource},
+    request::{RequestSlot, SlotSource},
+    slot_request::{ArbiterVerdict, RequestKey, SlotRequest, VerdictKind},
     target_word::TargetWord,
     units::{Moment, TierRank, Tokens},
     util,
-    verdict::{ArbiterVerdict, AskKey, SlotAsk, VerdictKind},
 };
 
 /// How long to wait for an arbiter's answer before this VM uses its own share instead.
@@ -61,7 +61,7 @@
 
     /// Returns whether a peer is unknown, or did not answer a slot request in time recently.
     fn is_excluded(&self, now: Moment, name: &VmName) -> bool {
-        self.peers.get(name).is_none_or(|peer| now < peer.distrusted_until)
+        self.peers.get(name).is_none_or(|peer| now < peer.excluded_until)
     }
 
     /// Chooses the scope with the shortest expected wait, and prefers usable scopes and this VM's
@@ -114,17 +114,17 @@
         name: VmName,
         effects: &mut EffectBuffer,
     ) {
-        let ask = AskRef { life: self.incarnation_tag(), sequence };
+        let ask = RequestRef { incarnation: self.incarnation_tag(), sequence };
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
-        record.slot = Some(SlotClaim {
+        record.slot = Some(RequestSlot {
             scope,
             source: SlotSource::Peer(name.clone()),
             acknowledged: false,
             target: None,
         });
-        let message = PeerMessage::Ask(AskMessage {
+        let message = PeerMessage::Ask(SlotRequestMessage {
             ask,
             data_centre: scope.data_centre,
             profile: record.profile.clone(),
@@ -145,15 +145,15 @@
         scope: ScopeKey,
         effects: &mut EffectBuffer,
     ) {
-        let request_ref = AskRef { life: self.incarnation_tag(), sequence };
+        let request_ref = RequestRef { incarnation: self.incarnation_tag(), sequence };
         self.ensure_arbiter(now, scope, effects);
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
         record.slot =
-            Some(SlotClaim { scope, source: SlotSource::Own, acknowledged: true, target: None });
-        let request = SlotAsk {
-            key: AskKey { vm: self.options.name.clone(), ask: request_ref },
+            Some(RequestSlot { scope, source: SlotSource::Own, acknowledged: true, target: None });
+        let request = SlotRequest {
+            key: RequestKey { vm: self.options.name.clone(), ask: request_ref },
             profile: record.profile.clone(),
             deadline: record.deadline,
             waited: now.since(record.arrived),
@@ -259,10 +259,10 @@
         source: &SlotSource,
         effects: &mut EffectBuffer,
     ) {
-        let ask = AskRef { life: self.incarnation_tag(), sequence };
+        let ask = RequestRef { incarnation: self.incarnation_tag(), sequence };
         match source {
             SlotSource::Own => {
-                let key = AskKey { vm: self.options.name.clone(), ask };
+                let key = RequestKey { vm: self.options.name.clone(), ask };
                 for arbiter in self.arbiters.values_mut() {
                     arbiter.withdraw(now, &key, &mut self.verdicts);
                 }
@@ -322,7 +322,7 @@
         &mut self,
         now: Moment,
         sequence: RequestSequence,
-        slot: &SlotClaim,
+        slot: &RequestSlot,
         effects: &mut EffectBuffer,
     ) {
         match &slot.source {
@@ -357,15 +357,15 @@
             self.requests.set_wake(sequence, Some(deadline));
             return;
         }
-        self.peers.distrust(name, now + EXCLUSION_SPAN);
-        effects.push(Effect::Note(Notice::ArbiterSilent(name.clone())));
+        self.peers.exclude_as_arbiter(name, now + EXCLUSION_SPAN);
+        effects.push(Effect::Note(OperatorNotice::ArbiterSilent(name.clone())));
         self.withdraw_ask(now, sequence, effects);
         self.ask_own_arbiter(now, sequence, slot.scope, effects);
     }
 
     /// Withdraws the slot request of a request from the arbiter that it was sent to.
     fn withdraw_ask(&mut self, now: Moment, sequence: RequestSequence, effects: &mut EffectBuffer) {
-        let ask = AskRef { life: self.incarnation_tag(), sequence };
+        let ask = RequestRef { incarnation: self.incarnation_tag(), sequence };
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
@@ -379,13 +379,13 @@
     fn withdraw_from(
         &mut self,
         now: Moment,
-        ask: AskRef,
-        slot: &SlotClaim,
+        ask: RequestRef,
+        slot: &RequestSlot,
         effects: &mut EffectBuffer,
     ) {
         match &slot.source {
             SlotSource::Own => {
-                let key = AskKey { vm: self.options.name.clone(), ask };
+                let key = RequestKey { vm: self.options.name.clone(), ask };
                 if let Some(arbiter) = self.arbiters.get_mut(&slot.scope) {
                     arbiter.withdraw(now, &key, &mut self.verdicts);
                 }
@@ -405,7 +405,7 @@
         outcome: ReleaseOutcome,
         effects: &mut EffectBuffer,
     ) {
-        let ask = AskRef { life: self.incarnation_tag(), sequence };
+        let ask = RequestRef { incarnation: self.incarnation_tag(), sequence };
         let Some(record) = self.requests.get_mut(sequence) else {
             return;
         };
@@ -417,7 +417,7 @@
             return;
         }
         // A notice from the target takes precedence over the outcome of the request.
-        let outcome = match record.word {
+        let outcome = match record.notice {
             TargetWord { leaving: true, .. } => ReleaseOutcome::TargetLeaving,
             TargetWord { hold_off: Some(span), .. } => ReleaseOutcome::HeldOff(util::millis(span)),
             TargetWord { .. } => outcome,
--- a/crates/ryetide-core/src/entry_standing.rs
+++ b/crates/ryetide-core/src/entry_standing.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     crash_ledger::{CrashNews, CrashedRun, RequestStanding},
-    effect::{Effect, EffectBuffer, Notice},
+    effect::{Effect, EffectBuffer, OperatorNotice},
     entry::EntryCore,
     entry_admission,
     event::{CallerRequest, FinalAnswer},
@@ -104,7 +104,7 @@
         if self.is_leaving(target) {
             return;
         }
-        self.notices.push(Notice::TargetCrashed { target, print, ran_ms });
+        self.notices.push(OperatorNotice::TargetCrashed { target, print, ran_ms });
         let ran = Duration::from_millis(u64::from(ran_ms));
         self.crashes.note_crash(now, target, &[CrashedRun { print, ran }]);
         let update = self.crashes.brief_news(now);
--- a/crates/ryetide-core/src/entry_word.rs
+++ b/crates/ryetide-core/src/entry_word.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::{
-    effect::{Effect, EffectBuffer, Notice},
+    effect::{Effect, EffectBuffer, OperatorNotice},
     entry::EntryCore,
     ids::{RequestSequence, TargetKey},
     message::PeerMessage,
@@ -22,9 +22,9 @@
         notice: TargetWord,
         effects: &mut EffectBuffer,
     ) {
-        self.notices.push(Notice::TargetSaid { sequence, target, word: notice });
+        self.notices.push(OperatorNotice::TargetSaid { sequence, target, word: notice });
         if let Some(record) = self.requests.get_mut(sequence) {
-            record.word = notice;
+            record.notice = notice;
         }
         self.note_limit(now, sequence, target, notice.limit, effects);
         if notice.leaving && self.words.note(now, target) {
--- a/crates/ryetide-core/src/event.rs
+++ b/crates/ryetide-core/src/event.rs
@@ -12,7 +12,7 @@
         AttemptNumber, DataCentreName, Incarnation, OperationId, RequestId, RequestSequence,
         TableToken, TargetKey, TargetName, VmName,
     },
-    message::{KeptAnswer, PeerMessage, RefuseReason},
+    message::{PeerMessage, RefuseReason, StoredAnswer},
     request_print::RequestPrint,
     target_word::TargetWord,
     units::{ByteSize, Moment, Revision, Tokens},
@@ -73,7 +73,7 @@
 
 /// A request that the core permits the driver to send on a connection.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum TargetOrder {
+pub enum TargetOperation {
     /// Dispatches the request, at most once.
     Dispatch {
         /// The identity under which the answer can be resumed or cancelled.
@@ -327,7 +327,7 @@
     /// The whole answer was passed on.
     Answered,
     /// The stored answer of an earlier request with the same idempotency key is returned.
-    Replayed(KeptAnswer),
+    Replayed(StoredAnswer),
     /// The request did not run.
     NotRun {
         /// Why it did not run.
--- a/crates/ryetide-core/src/lib.rs
+++ b/crates/ryetide-core/src/lib.rs
@@ -26,7 +26,7 @@
 //! | [`event`], [`effect`], [`message`] | events, effects, and the messages between entry VMs |
 //! | [`chart`] | state charts, read from files and interpreted |
 //! | [`text`], [`catalog`] | parsing of operators' YAML, with all errors reported at once; the services text |
-//! | [`arbiter`], [`verdict`], [`queue`], [`estimate`], [`affinity`], [`retry`] | order, admission and placement of requests for a service |
+//! | [`arbiter`], [`slot_request`], [`queue`], [`target_estimate`], [`affinity`], [`retry`] | order, admission and placement of requests for a service |
 //! | [`membership`] | the peers, and which VM arbitrates a service |
 //! | [`claim`], [`configuration`], [`request`] | the state behind the guarantees |
 //! | [`request_print`], [`crash_ledger`], [`crash_blame`] | requests that crash targets |
@@ -70,7 +70,6 @@
 mod entry_standing;
 mod entry_word;
 pub mod era_version;
-pub mod estimate;
 pub mod event;
 pub mod ids;
 pub mod json_form;
@@ -107,6 +106,8 @@
 mod scheduler_rollouts;
 pub mod service_rollout;
 mod slot_ledger;
+pub mod slot_request;
+pub mod target_estimate;
 pub mod target_health;
 pub mod target_limit;
 pub mod target_load;
@@ -115,6 +116,5 @@
 pub mod text;
 pub mod units;
 mod util;
-pub mod verdict;
 pub mod wait_line;
 pub mod watch_duty;
--- a/crates/ryetide-core/src/membership.rs
+++ b/crates/ryetide-core/src/membership.rs
@@ -49,7 +49,7 @@
     pub loads: Vec<ScopeLoad>,
     /// The time until which it is not used as an arbiter, because it did not answer a slot request
     /// in time.
-    pub distrusted_until: Moment,
+    pub excluded_until: Moment,
 }
 
 /// What a message from a peer changed in the table of peers.
@@ -99,13 +99,18 @@
     }
 
     /// Records that this VM is leaving, after which it arbitrates no scope.
-    pub fn leave(&mut self) {
+    pub fn set_leaving(&mut self) {
         self.own_leaving = true;
     }
 
     /// Adds a peer, or updates the address of a known peer that is not alive; returns whether
     /// anything changed.
-    pub fn list(&mut self, name: &VmName, centre: &DataCentreName, at: net::SocketAddr) -> bool {
+    pub fn add_or_update(
+        &mut self,
+        name: &VmName,
+        centre: &DataCentreName,
+        at: net::SocketAddr,
+    ) -> bool {
         if *name == self.own_name {
             return false;
         }
@@ -125,7 +130,7 @@
             last_received: Moment::default(),
             revision: Revision::default(),
             loads: Vec::new(),
-            distrusted_until: Moment::default(),
+            excluded_until: Moment::default(),
         };
         self.peers.insert(name.clone(), record);
         true
@@ -133,7 +138,7 @@
 
     /// Applies the platform's list: adds the VMs that it names, and removes peers that it no longer
     /// names unless they are alive. A live peer stays because the list may be out of date.
-    pub fn take_list(&mut self, listed: &[ListedVm]) -> bool {
+    pub fn apply_list(&mut self, listed: &[ListedVm]) -> bool {
         let mut changed = false;
         let mut listed_names = Vec::new();
         for vm in listed {
@@ -141,7 +146,7 @@
                 continue;
             };
             let name = VmName::from(vm.name.as_str());
-            changed |= self.list(&name, &vm.data_centre, address);
+            changed |= self.add_or_update(&name, &vm.data_centre, address);
             listed_names.push(name);
         }
         for peer in self.peers.values_mut().filter(|peer| !listed_names.contains(&peer.name)) {
@@ -152,7 +157,7 @@
     }
 
     /// Records that a message was received from a peer.
-    pub fn hear(
+    pub fn record_message(
         &mut self,
         now: Moment,
         from: &VmName,
@@ -160,7 +165,7 @@
         centre: &DataCentreName,
         address: net::SocketAddr,
     ) -> PeerChange {
-        self.list(from, centre, address);
+        self.add_or_update(from, centre, address);
         let Some(peer) = self.peers.get_mut(from) else {
             return PeerChange::default();
         };
@@ -181,7 +186,7 @@
 
     /// Records the content of a peer's heartbeat; returns whether it is the first one that
     /// announces that the peer is leaving.
-    pub fn note_heartbeat(
+    pub fn record_heartbeat(
         &mut self,
         from: &VmName,
         revision: Revision,
@@ -218,9 +223,9 @@
     }
 
     /// Excludes a peer as an arbiter until `until`.
-    pub fn distrust(&mut self, name: &VmName, until: Moment) {
+    pub fn exclude_as_arbiter(&mut self, name: &VmName, until: Moment) {
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.distrusted_until = until;
+            peer.excluded_until = until;
         }
     }
 
--- a/crates/ryetide-core/src/message.rs
+++ b/crates/ryetide-core/src/message.rs
@@ -57,20 +57,21 @@
 /// one grant, and the request table still permits at most one dispatch of each request. The full
 /// eight bytes in every message would add no safety.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
-pub struct LifeMark(pub u16);
+pub struct IncarnationTag(pub u16);
 
 /// Identifies a request of one entry VM, the VM that holds the connection to its caller.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
-pub struct AskRef {
+pub struct RequestRef {
     /// The VM's incarnation.
-    pub life: LifeMark,
+    #[serde(rename = "life")]
+    pub incarnation: IncarnationTag,
     /// The request's number in that incarnation.
     pub sequence: RequestSequence,
 }
 
 /// The properties of a request by which an arbiter orders and places it.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct AskProfile {
+pub struct RequestProfile {
     /// The requested service.
     pub service: ServiceKey,
     /// The caller's organisation.
@@ -87,13 +88,13 @@
 
 /// Asks an arbiter for a slot at one of a scope's targets.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct AskMessage {
+pub struct SlotRequestMessage {
     /// The request.
-    pub ask: AskRef,
+    pub ask: RequestRef,
     /// The data centre of the scope whose arbiter is asked.
     pub data_centre: DataCentreKey,
     /// The properties of the request.
-    pub profile: AskProfile,
+    pub profile: RequestProfile,
     /// The time until the caller's deadline, in milliseconds.
     pub deadline_ms: u32,
     /// The time that the request has already waited for any arbiter, in milliseconds.
@@ -138,7 +139,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct RefuseMessage {
     /// The refused request.
-    pub ask: AskRef,
+    pub ask: RequestRef,
     /// Why it is refused.
     pub reason: RefuseReason,
     /// The delay after which the caller should retry, in milliseconds.
@@ -166,7 +167,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ReleaseMessage {
     /// The request.
-    pub ask: AskRef,
+    pub ask: RequestRef,
     /// The scope.
     pub scope: ScopeKey,
     /// The outcome of the slot.
@@ -181,15 +182,15 @@
 
 /// Reports a slot in use to an arbiter that has just taken over the scope.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct HoldingMessage {
+pub struct HeldSlotMessage {
     /// The request.
-    pub ask: AskRef,
+    pub ask: RequestRef,
     /// The scope's data centre.
     pub data_centre: DataCentreKey,
     /// The target that runs the request.
     pub target: TargetKey,
     /// The properties of the request.
-    pub profile: AskProfile,
+    pub profile: RequestProfile,
     /// The time since the dispatch, in milliseconds.
     pub running_ms: u32,
 }
@@ -236,7 +237,7 @@
     /// The request is waiting or running.
     InProgress,
     /// The request was answered; contains the answer if it is still stored.
-    Answered(Option<KeptAnswer>),
+    Answered(Option<StoredAnswer>),
     /// The request did not run and never will.
     NotRun,
     /// The request may have run.
@@ -245,7 +246,7 @@
 
 /// A whole answer that is stored for repeats of the request.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// The status of the target's answer.
     pub status: u16,
     /// The content type of the answer.
@@ -260,32 +261,32 @@
     /// Shows that the sender is alive, and reports its state.
     Heartbeat(HeartbeatMessage),
     /// Requests a slot.
-    Ask(AskMessage),
+    Ask(SlotRequestMessage),
     /// Withdraws a slot request.
     Withdraw {
         /// The request.
-        ask: AskRef,
+        ask: RequestRef,
         /// The scope.
         scope: ScopeKey,
     },
     /// Grants a slot.
     Grant {
         /// The request.
-        ask: AskRef,
+        ask: RequestRef,
         /// The target to dispatch the request to.
         target: TargetKey,
     },
     /// Confirms that a slot request was queued.
     Queued {
         /// The request.
-        ask: AskRef,
+        ask: RequestRef,
     },
     /// Refuses a slot.
     Refuse(RefuseMessage),
     /// Releases a slot.
     Release(ReleaseMessage),
     /// Reports a slot in use to a new arbiter.
-    Holding(HoldingMessage),
+    Holding(HeldSlotMessage),
     /// Requests the receiver's services text.
     ConfigurationPull,
     /// Sends a services text.
@@ -295,12 +296,12 @@
         /// The request that holds the key.
         holder: RequestId,
         /// The request of the querying VM that repeats it.
-        ask: AskRef,
+        ask: RequestRef,
     },
     /// Answers an outcome query.
     OutcomeReply {
         /// The request that repeats the holder's.
-        ask: AskRef,
+        ask: RequestRef,
         /// The outcome of the holder's request.
         outcome: ClaimOutcome,
     },
--- a/crates/ryetide-core/src/request.rs
+++ b/crates/ryetide-core/src/request.rs
@@ -9,7 +9,7 @@
     chart::{self, RequestEvent, RequestState},
     event::{TargetCall, TargetRoute},
     ids::{AttemptNumber, RequestSequence, ScopeKey, TargetKey, VmName},
-    message::{AskProfile, RefuseReason},
+    message::{RefuseReason, RequestProfile},
     request_print::RequestPrint,
     target_word::TargetWord,
     units::{ByteSize, Moment},
@@ -27,7 +27,7 @@
 
 /// A pending slot request, or the slot that it was granted.
 #[derive(Clone, Debug)]
-pub struct SlotClaim {
+pub struct RequestSlot {
     /// The scope of the slot.
     pub scope: ScopeKey,
     /// The arbiter that was asked.
@@ -44,7 +44,7 @@
     /// The state in the request chart.
     pub state: RequestState,
     /// The properties by which an arbiter orders and places the request.
-    pub profile: AskProfile,
+    pub profile: RequestProfile,
     /// The fingerprint by which the request is recognised when it is repeated.
     pub print: RequestPrint,
     /// The content to forward to the target; taken when it is sent.
@@ -60,7 +60,7 @@
     /// Whether the caller has closed its connection.
     pub caller_gone: bool,
     /// The pending slot request, or the slot that the request holds.
-    pub slot: Option<SlotClaim>,
+    pub slot: Option<RequestSlot>,
     /// The scopes that refused the request.
     pub refused_by: Vec<ScopeKey>,
     /// The shortest retry delay that a refusing scope returned, with the reason of the last
@@ -71,7 +71,7 @@
     /// The target of the request's connections.
     pub route: Option<TargetRoute>,
     /// The notice that the target has sent with its answer.
-    pub word: TargetWord,
+    pub notice: TargetWord,
     /// The largest answer to accept.
     pub answer_limit: ByteSize,
     /// Whether the current connection is open.
--- a/crates/ryetide-core/src/slot_ledger.rs
+++ b/crates/ryetide-core/src/slot_ledger.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     ids::{TargetKey, VmName},
+    slot_request::RequestKey,
     units::{Moment, Tokens},
-    verdict::AskKey,
 };
 
 /// How long after its expected end a slot is reclaimed if its end was never reported.
@@ -28,7 +28,7 @@
 /// All slots in use, by the slot request that each was granted for.
 #[derive(Debug)]
 pub(crate) struct SlotLedger {
-    slots: BTreeMap<AskKey, HeldSlot>,
+    slots: BTreeMap<RequestKey, HeldSlot>,
     /// The sum of the expected ends, to compute the mean remaining time.
     expected_end_sum: u128,
     last_orphan_search: Moment,
@@ -46,25 +46,25 @@
     }
 
     /// Returns whether a slot is in use for this slot request.
-    pub(crate) fn contains(&self, key: &AskKey) -> bool {
+    pub(crate) fn contains(&self, key: &RequestKey) -> bool {
         self.slots.contains_key(key)
     }
 
     /// Adds a slot for a request that has none.
-    pub(crate) fn insert(&mut self, key: AskKey, slot: HeldSlot) {
+    pub(crate) fn insert(&mut self, key: RequestKey, slot: HeldSlot) {
         self.expected_end_sum += u128::from(slot.expected_end.0);
         self.slots.insert(key, slot);
     }
 
     /// Removes and returns the slot of a request.
-    pub(crate) fn take(&mut self, key: &AskKey) -> Option<HeldSlot> {
+    pub(crate) fn take(&mut self, key: &RequestKey) -> Option<HeldSlot> {
         let slot = self.slots.remove(key)?;
         self.expected_end_sum -= u128::from(slot.expected_end.0);
         Some(slot)
     }
 
     /// Returns the requests of a VM that have slots.
-    pub(crate) fn of_vm(&self, vm: &VmName) -> Vec<AskKey> {
+    pub(crate) fn of_vm(&self, vm: &VmName) -> Vec<RequestKey> {
         self.slots.keys().filter(|key| key.vm == *vm).cloned().collect()
     }
 
@@ -82,7 +82,7 @@
         }
         self.last_orphan_search = now;
         let due = |slot: &HeldSlot| now.since(slot.expected_end) > ORPHAN_GRACE;
-        let orphans: Vec<AskKey> =
+        let orphans: Vec<RequestKey> =
             self.slots.iter().filter(|(_, slot)| due(slot)).map(|(key, _)| key.clone()).collect();
         orphans.iter().filter_map(|key| self.take(key)).collect()
     }
--- a/crates/ryetide-core/src/verdict.rs
+++ b/crates/ryetide-core/src/slot_request.rs
@@ -4,26 +4,26 @@
 
 use crate::{
     ids::{TargetKey, VmName},
-    message::{AskProfile, AskRef, RefuseReason},
+    message::{RefuseReason, RequestProfile, RequestRef},
     units::Moment,
 };
 
 /// Identifies a request of any entry VM.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct AskKey {
+pub struct RequestKey {
     /// The VM that holds the connection to the caller.
     pub vm: VmName,
     /// The request on that VM.
-    pub ask: AskRef,
+    pub ask: RequestRef,
 }
 
 /// A request for a slot, which an arbiter orders and places.
 #[derive(Clone, Debug)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// The request.
-    pub key: AskKey,
+    pub key: RequestKey,
     /// The properties of the request.
-    pub profile: AskProfile,
+    pub profile: RequestProfile,
     /// The caller's deadline.
     pub deadline: Moment,
     /// The time that the request has already waited.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ArbiterVerdict {
     /// The request.
-    pub key: AskKey,
+    pub key: RequestKey,
     /// The verdict.
     pub kind: VerdictKind,
 }
--- a/crates/ryetide-core/src/estimate.rs
+++ b/crates/ryetide-core/src/target_estimate.rs
@@ -34,14 +34,14 @@
 
 /// The estimate of one target by the arbiter of its scope.
 #[derive(Debug)]
-pub struct TargetModel {
+pub struct TargetEstimate {
     key: TargetKey,
     rule: TargetRule,
     state: TargetState,
     /// The end of the pause after a failed connection.
     pause_until: Moment,
     /// The end of the back-off that the target has requested.
-    held_until: Moment,
+    backed_off_until: Moment,
     /// This arbiter's share of the target's rate limit.
     limit: TargetLimit,
     /// The number of consecutive failed connections.
@@ -65,14 +65,14 @@
     prefill_end: Moment,
 }
 
-impl TargetModel {
+impl TargetEstimate {
     /// Creates the estimate of a target that has not been observed yet.
     pub fn new(rule: TargetRule) -> Self {
         Self {
             key: TargetKey::of(&rule.name),
             state: chart::target().initial(),
             pause_until: Moment::default(),
-            held_until: Moment::default(),
+            backed_off_until: Moment::default(),
             limit: TargetLimit::None,
             failures: 0,
             running: 0,
@@ -126,7 +126,7 @@
     /// Connections that fail during the pause are ignored, since they belong to the same outage. If
     /// each of them doubled the pause, a few simultaneous failures would pause the target for
     /// seconds.
-    pub fn note_failure(&mut self, now: Moment) -> bool {
+    pub fn record_failure(&mut self, now: Moment) -> bool {
         if now < self.pause_until {
             return false;
         }
@@ -138,20 +138,21 @@
 
     /// Records that a request reached the target, with any outcome. The next failed connection then
     /// starts a new outage with the initial pause.
-    pub fn note_reached(&mut self) {
+    pub fn record_reached(&mut self) {
         self.failures = 0;
     }
 
     /// Records that the target answered.
-    pub fn note_answer(&mut self) {
+    pub fn record_answer(&mut self) {
         self.failures = 0;
         self.handle(TargetEvent::Answered);
     }
 
     /// Records a back-off of `span` that the target has requested. Later observations extend it but
     /// never shorten it.
-    pub fn hold_off(&mut self, now: Moment, span: Duration) {
-        self.held_until = self.held_until.max(now + span.min(target_word::LONGEST_HOLD_OFF));
+    pub fn back_off(&mut self, now: Moment, span: Duration) {
+        self.backed_off_until =
+            self.backed_off_until.max(now + span.min(target_word::LONGEST_HOLD_OFF));
     }
 
     /// Returns this arbiter's share of the target's rate limit.
@@ -165,15 +166,15 @@
     }
 
     /// Returns the time until which the target's back-off and rate limit permit no request.
-    pub fn held_until(&self, now: Moment) -> Moment {
-        self.held_until.max(self.limit.wants_at(now))
+    pub fn backed_off_until(&self, now: Moment) -> Moment {
+        self.backed_off_until.max(self.limit.wants_at(now))
     }
 
     /// Returns when a target that is suspect, backed off or rate-limited may be used again, or
     /// `None` for any other target.
     pub fn pause_end(&self, now: Moment) -> Option<Moment> {
         let suspect_until = (self.state == TargetState::Suspect).then_some(self.pause_until);
-        suspect_until.max(Some(self.held_until(now)).filter(|until| *until > now))
+        suspect_until.max(Some(self.backed_off_until(now)).filter(|until| *until > now))
     }
 
     /// Returns the number of slots that this arbiter may grant: the fraction `fill` of its `share`
@@ -189,13 +190,13 @@
         if self.state == TargetState::Suspect && now >= self.pause_until {
             self.handle(TargetEvent::PauseOver);
         }
-        let is_ready = self.state == TargetState::Usable && now >= self.held_until;
+        let is_ready = self.state == TargetState::Usable && now >= self.backed_off_until;
         is_ready && self.limit.permits(now) && self.running < self.slot_limit(now, fill, share)
     }
 
     /// Returns whether a request of `tokens` fits into this arbiter's `share` of the target. An
     /// idle target accepts any request that fits into its whole capacity.
-    pub fn holds(&self, share: f64, tokens: Tokens) -> bool {
+    pub fn fits(&self, share: f64, tokens: Tokens) -> bool {
         let capacity = (self.rule.tokens.0 as f64 * share) as u64;
         let fits = self.running == 0 || self.reserved.0 + tokens.0 <= capacity;
         fits && tokens.0 <= self.rule.tokens.0
@@ -240,7 +241,13 @@
     /// Updates the speeds from a completed answer. `first` is the time from the dispatch to the
     /// first piece, less the prefill backlog at the dispatch. Short prompts are ignored, since
     /// overhead dominates their time.
-    pub fn learn(&mut self, prompt: Tokens, output: Tokens, first: Duration, total: Duration) {
+    pub fn record_completion(
+        &mut self,
+        prompt: Tokens,
+        output: Tokens,
+        first: Duration,
+        total: Duration,
+    ) {
         if prompt.0 >= MIN_PREFILL_SAMPLE && !first.is_zero() {
             update_average(&mut self.prefill_rate, prompt.0 as f64 / first.as_secs_f64());
         }
@@ -254,7 +261,7 @@
     /// Applies a load report: computes the surplus over the grants held at the time that it
     /// describes, and updates the decode speed from the tokens of streams that have not ended, so
     /// that a slowdown is detected before the first slow answer is complete.
-    pub fn note_report(&mut self, now: Moment, report: &LoadReport) {
+    pub fn record_report(&mut self, now: Moment, report: &LoadReport) {
         let taken = now.before(Duration::from_millis(report.age_ms));
         let granted_then = self.running_at(taken);
         self.surplus = report.running.saturating_sub(granted_then);
--- a/crates/ryetide-core/tests/arbiter.rs
+++ b/crates/ryetide-core/tests/arbiter.rs
@@ -8,10 +8,12 @@
     catalog::ServiceCatalog,
     event::LoadReport,
     ids::{OrganisationKey, OrganisationName, RequestSequence, TargetKey, TargetName, VmName},
-    message::{AskProfile, AskRef, LifeMark, RefuseReason, ReleaseMessage, ReleaseOutcome},
+    message::{
+        IncarnationTag, RefuseReason, ReleaseMessage, ReleaseOutcome, RequestProfile, RequestRef,
+    },
     safeguard::SafeguardSwitches,
+    slot_request::{ArbiterVerdict, RequestKey, SlotRequest, VerdictKind},
     units::{Moment, TierRank, Tokens},
-    verdict::{ArbiterVerdict, AskKey, SlotAsk, VerdictKind},
 };
 
 const TEXT: &str = "
@@ -73,7 +75,7 @@
         deadline: u64,
     ) -> u64 {
         self.next += 1;
-        let profile = AskProfile {
+        let profile = RequestProfile {
             service: self.arbiter.scope().service,
             organisation: OrganisationKey::of(&OrganisationName::from(organisation)),
             tier: TierRank(tier),
@@ -81,7 +83,7 @@
             output_limit: Tokens(output),
             prefixes: Vec::new(),
         };
-        let ask = SlotAsk {
+        let ask = SlotRequest {
             key: key(self.next),
             profile,
             deadline: now + Duration::from_millis(deadline),
@@ -115,9 +117,9 @@
     }
 }
 
-fn key(number: u64) -> AskKey {
-    let ask = AskRef { life: LifeMark(0), sequence: RequestSequence(number) };
-    AskKey { vm: VmName::from("e1"), ask }
+fn key(number: u64) -> RequestKey {
+    let ask = RequestRef { incarnation: IncarnationTag(0), sequence: RequestSequence(number) };
+    RequestKey { vm: VmName::from("e1"), ask }
 }
 
 fn target(name: &str) -> TargetKey {
--- a/crates/ryetide-core/tests/configuration.rs
+++ b/crates/ryetide-core/tests/configuration.rs
@@ -1,8 +1,8 @@
 //! Operators' edits when the configuration row cannot be decoded by this build.
 
 use ryetide_core::{
-    configuration::ConfigurationKeeper,
-    effect::{ApplyOutcome, Effect, EffectBuffer, Notice},
+    configuration::ConfigurationManager,
+    effect::{ApplyOutcome, Effect, EffectBuffer, OperatorNotice},
     event::{TableAnswer, TableCommand, TableRow},
     ids::{OperationId, TableToken},
     safeguard::SafeguardSwitches,
@@ -18,20 +18,20 @@
 }
 
 struct Editor {
-    keeper: ConfigurationKeeper,
+    manager: ConfigurationManager,
     last_token: u64,
 }
 
 impl Editor {
     fn new() -> Self {
-        Self { keeper: ConfigurationKeeper::new(SafeguardSwitches::default()), last_token: 1 }
+        Self { manager: ConfigurationManager::new(SafeguardSwitches::default()), last_token: 1 }
     }
 
     /// Begins an edit, whose first read has the token 1.
     fn begin(&mut self) -> Vec<Effect> {
         let mut effects = EffectBuffer::new(64);
         let (operation, token) = (OperationId(7), TableToken(1));
-        self.keeper.apply(NOW, operation, None, TEXT.to_owned(), token, &mut effects);
+        self.manager.apply(NOW, operation, None, TEXT.to_owned(), token, &mut effects);
         effects.drain().collect()
     }
 
@@ -43,8 +43,9 @@
             *last_token += 1;
             TableToken(*last_token)
         };
-        let handling = self.keeper.handle_table(NOW, token, answer, &mut next, &mut effects);
-        assert!(handling.taken);
+        let handling =
+            self.manager.handle_table_answer(NOW, token, answer, &mut next, &mut effects);
+        assert!(handling.consumed);
         effects.drain().collect()
     }
 }
@@ -64,8 +65,9 @@
 }
 
 fn reports_unreadable_row(effects: &[Effect]) -> bool {
-    let is_notice =
-        |effect: &Effect| matches!(effect, Effect::Note(Notice::RowUnreadable { version: 9, .. }));
+    let is_notice = |effect: &Effect| {
+        matches!(effect, Effect::Note(OperatorNotice::RowUnreadable { version: 9, .. }))
+    };
     effects.iter().any(is_notice)
 }
 
--- a/crates/ryetide-core/tests/entry.rs
+++ b/crates/ryetide-core/tests/entry.rs
@@ -11,7 +11,9 @@
         TargetCall, UnknownReason,
     },
     ids::{DataCentreName, Incarnation, RequestId, RequestSequence, TableToken, VmName},
-    message::{AskRef, ClaimOutcome, HeartbeatMessage, LifeMark, PeerMessage, RefuseReason},
+    message::{
+        ClaimOutcome, HeartbeatMessage, IncarnationTag, PeerMessage, RefuseReason, RequestRef,
+    },
     safeguard::SafeguardSwitches,
     units::{Moment, Tokens},
 };
@@ -115,7 +117,7 @@
     let value = serde_json::json!({"holder": holder}).to_string();
     let answer = TableAnswer::Conflict(Some(TableRow { version: 4, value }));
     bench.step(Event::TableReplied { token, answer });
-    let ask = AskRef { life: LifeMark(77), sequence: RequestSequence(1) };
+    let ask = RequestRef { incarnation: IncarnationTag(77), sequence: RequestSequence(1) };
     let effects = bench.receive(PeerMessage::OutcomeReply { ask, outcome: ClaimOutcome::NotRun });
     let takes = |effect: &Effect| {
         matches!(effect, Effect::Table { command: TableCommand::Write { expected: 4, .. }, .. })
@@ -227,7 +229,7 @@
                 match effect {
                     Effect::Permit {
                         sequence,
-                        order: ryetide_core::event::TargetOrder::Dispatch { .. },
+                        order: ryetide_core::event::TargetOperation::Dispatch { .. },
                         ..
                     } => {
                         assert!(!dispatched.contains(&sequence), "dispatched twice");
--- a/crates/ryetide-core/tests/fault_matrix/cell_network.rs
+++ b/crates/ryetide-core/tests/fault_matrix/cell_network.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use ryetide_core::{
-    event::{Event, ListedVm, LoadReport, TableAnswer, TableCommand, TargetOrder},
+    event::{Event, ListedVm, LoadReport, TableAnswer, TableCommand, TargetOperation},
     ids::{DataCentreName, Incarnation, OperationId, RequestId, TableToken, VmName},
     message::{self, PeerMessage},
 };
@@ -26,7 +26,7 @@
     /// The caller of a call closes the connection of one of its tries.
     Gone(usize, usize),
     /// A dispatch or resume on a connection to a target.
-    ToTarget(ConnectionKey, TargetOrder),
+    ToTarget(ConnectionKey, TargetOperation),
     /// The next piece of an answer, from an offset.
     Stream(ConnectionKey, RequestId, u64),
     /// A command of a VM's incarnation to the table service, and whether it is answered.
--- a/crates/ryetide-core/tests/fault_matrix/cell_targets.rs
+++ b/crates/ryetide-core/tests/fault_matrix/cell_targets.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ryetide_core::{
-    event::{AnswerHead, Event, TargetOrder},
+    event::{AnswerHead, Event, TargetOperation},
     ids::RequestId,
 };
 
@@ -22,7 +22,7 @@
 
 impl Cell {
     /// Handles a dispatch or resume that a VM has sent on a connection.
-    pub fn handle_at_target(&mut self, key: ConnectionKey, order: TargetOrder) {
+    pub fn handle_at_target(&mut self, key: ConnectionKey, order: TargetOperation) {
         let (vm, incarnation, sequence, attempt) = key;
         let now = self.now;
         let Some(connection) = self.connections.get_mut(&key) else { return };
@@ -37,10 +37,10 @@
             return;
         }
         match order {
-            TargetOrder::Dispatch { not_after, .. } if now >= not_after => {
+            TargetOperation::Dispatch { not_after, .. } if now >= not_after => {
                 self.close(key, Event::TargetBroken { sequence, attempt });
             }
-            TargetOrder::Dispatch { id, call, .. } => {
+            TargetOperation::Dispatch { id, call, .. } => {
                 if target.leaving || target.busy {
                     if !REFUSAL_CONTRACTS.contains(&TARGETS[index].0) {
                         // Without the contract, a refused request may have run; here it has.
@@ -63,7 +63,7 @@
                 self.schedule(now + DELIVERY_DELAY, head);
                 self.schedule(now + PIECE_GAP, Delivery::Stream(key, id, 0));
             }
-            TargetOrder::Resume { id, offset } => {
+            TargetOperation::Resume { id, offset } => {
                 if target.forgetful || !target.jobs.contains_key(&id) {
                     self.close(key, Event::ResumeUnknown { sequence, attempt });
                     return;
--- a/crates/ryetide-core/tests/message.rs
+++ b/crates/ryetide-core/tests/message.rs
@@ -2,12 +2,12 @@
 
 use ryetide_core::{
     ids::{RequestSequence, TargetKey},
-    message::{self, AskRef, FrameError, HeartbeatMessage, LifeMark, PeerMessage},
+    message::{self, FrameError, HeartbeatMessage, IncarnationTag, PeerMessage, RequestRef},
     units::Revision,
 };
 
-fn ask() -> AskRef {
-    AskRef { life: LifeMark(0xbeef), sequence: RequestSequence(300) }
+fn ask() -> RequestRef {
+    RequestRef { incarnation: IncarnationTag(0xbeef), sequence: RequestSequence(300) }
 }
 
 /// Returns messages with their frames as encoded by the first build of version 1.
--- a/crates/ryetide-core/tests/target_limit/arbiters.rs
+++ b/crates/ryetide-core/tests/target_limit/arbiters.rs
@@ -7,7 +7,8 @@
     effect::{Effect, EffectBuffer},
     entry::{EntryCore, EntryOptions},
     event::{
-        AnswerHead, CallerRequest, Event, ListedVm, TableAnswer, TableRow, TargetCall, TargetOrder,
+        AnswerHead, CallerRequest, Event, ListedVm, TableAnswer, TableRow, TargetCall,
+        TargetOperation,
     },
     ids::{AttemptNumber, DataCentreName, Incarnation, RequestSequence, TargetKey, VmName},
     message::PeerMessage,
@@ -105,7 +106,7 @@
             Effect::Connect { sequence, attempt, .. } => {
                 vec![(vm, Event::Connected { sequence, attempt })]
             }
-            Effect::Permit { sequence, attempt, order: TargetOrder::Dispatch { .. } } => {
+            Effect::Permit { sequence, attempt, order: TargetOperation::Dispatch { .. } } => {
                 self.sent.push(self.now);
                 target_answers(sequence, attempt).map(|event| (vm, event)).to_vec()
             }
--- a/crates/ryetide-lab/src/slopes.rs
+++ b/crates/ryetide-lab/src/slopes.rs
@@ -18,12 +18,12 @@
         RequestSequence, ServiceKey, ServiceName, TableToken, TargetKey, TargetName, VmName,
     },
     message::{
-        self, AskMessage, AskProfile, AskRef, HeartbeatMessage, HoldingMessage, LifeMark,
-        PeerMessage, ReleaseMessage, ReleaseOutcome,
+        self, HeartbeatMessage, HeldSlotMessage, IncarnationTag, PeerMessage, ReleaseMessage,
+        ReleaseOutcome, RequestProfile, RequestRef, SlotRequestMessage,
     },
     safeguard::SafeguardSwitches,
+    slot_request::{RequestKey, SlotRequest, VerdictKind},
     units::{Moment, Revision, TierRank, Tokens},
-    verdict::{AskKey, SlotAsk, VerdictKind},
 };
 
 use crate::line_fit;
@@ -73,8 +73,8 @@
     line_fit::print_fit("bytes of the text over organisations, 600 replicas", "bytes", &points);
 }
 
-fn profile() -> AskProfile {
-    AskProfile {
+fn profile() -> RequestProfile {
+    RequestProfile {
         service: ServiceKey::of(&ServiceName::from("model-1")),
         organisation: OrganisationKey::of(&OrganisationName::from("org-1")),
         tier: TierRank(2),
@@ -84,8 +84,8 @@
     }
 }
 
-fn ask_ref() -> AskRef {
-    AskRef { life: LifeMark(0xbeef), sequence: RequestSequence(1_000_000) }
+fn ask_ref() -> RequestRef {
+    RequestRef { incarnation: IncarnationTag(0xbeef), sequence: RequestSequence(1_000_000) }
 }
 
 /// The length that goes before each frame on a link.
@@ -101,7 +101,7 @@
         DataCentreKey::of(&DataCentreName::from("hall-a")),
     );
     let target = TargetKey::of(&TargetName::from("target-1"));
-    let ask = PeerMessage::Ask(AskMessage {
+    let ask = PeerMessage::Ask(SlotRequestMessage {
         ask: ask_ref(),
         data_centre: scope.data_centre,
         profile: profile(),
@@ -116,7 +116,7 @@
         total_ms: 12_000,
         output: Tokens(400),
     });
-    let holding = PeerMessage::Holding(HoldingMessage {
+    let holding = PeerMessage::Holding(HeldSlotMessage {
         ask: ask_ref(),
         data_centre: scope.data_centre,
         target,
@@ -297,11 +297,12 @@
     let vm = VmName::from("e1");
     for number in 0..40_000_u64 {
         let now = Moment(number * 500 + 1);
-        let ask = AskRef { life: LifeMark(0), sequence: RequestSequence(number) };
-        let key = AskKey { vm: vm.clone(), ask };
+        let ask = RequestRef { incarnation: IncarnationTag(0), sequence: RequestSequence(number) };
+        let key = RequestKey { vm: vm.clone(), ask };
         let organisation = keys[(number as usize * 7_919) % keys.len()];
-        let profile = AskProfile { organisation, tier: TierRank((number % 5) as u8), ..profile() };
-        let ask = SlotAsk {
+        let profile =
+            RequestProfile { organisation, tier: TierRank((number % 5) as u8), ..profile() };
+        let ask = SlotRequest {
             key,
             profile,
             deadline: now + Duration::from_secs(60),
@@ -439,15 +440,16 @@
     let mut points = Vec::new();
     for number in 1..=4_000_u64 {
         for arbiter in &mut arbiters {
-            let ask = AskRef { life: LifeMark(0), sequence: RequestSequence(number) };
-            let profile = AskProfile {
+            let ask =
+                RequestRef { incarnation: IncarnationTag(0), sequence: RequestSequence(number) };
+            let profile = RequestProfile {
                 organisation,
                 prompt: Tokens(1),
                 output_limit: Tokens(1),
                 ..profile()
             };
-            let ask = SlotAsk {
-                key: AskKey { vm: VmName::from("e1"), ask },
+            let ask = SlotRequest {
+                key: RequestKey { vm: VmName::from("e1"), ask },
                 profile,
                 deadline: now + Duration::from_secs(3_600),
                 waited: Duration::ZERO,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -28,9 +28,9 @@
 };
 use rand::Rng;
 use ryetide_core::{
-    effect::{ApplyOutcome, Effect, EffectBuffer, Notice},
+    effect::{ApplyOutcome, Effect, EffectBuffer, OperatorNotice},
     entry::{EntryCore, EntryOptions},
-    event::{Event, TargetOrder},
+    event::{Event, TargetOperation},
     ids::{Incarnation, OperationId, VmName},
     units::Moment,
 };
@@ -350,11 +350,11 @@
     }
 
     /// Returns the clock's time of an order's last moment.
-    fn instant_of(&self, order: &TargetOrder) -> Instant {
+    fn instant_of(&self, order: &TargetOperation) -> Instant {
         let start = self.started.unwrap_or_else(Instant::now);
         match order {
-            TargetOrder::Dispatch { not_after, .. } => start + not_after.since(Moment(1)),
-            TargetOrder::Resume { .. } => start,
+            TargetOperation::Dispatch { not_after, .. } => start + not_after.since(Moment(1)),
+            TargetOperation::Resume { .. } => start,
         }
     }
 
@@ -458,42 +458,42 @@
     }
 }
 
-fn log_notice(vm: &VmName, notice: &Notice) {
+fn log_notice(vm: &VmName, notice: &OperatorNotice) {
     match notice {
-        Notice::RevisionInForce { revision, from_peer } => {
+        OperatorNotice::RevisionInForce { revision, from_peer } => {
             let source = from_peer.as_ref().map_or("table", |name| name.as_str());
             tracing::info!(event = "revision-in-force", %revision, source);
         }
-        Notice::RevisionUnreadable { revision, fault } => {
+        OperatorNotice::RevisionUnreadable { revision, fault } => {
             tracing::error!(event = "revision-unreadable", step = "adopt", %revision, %fault);
         }
-        Notice::RowUnreadable { version, fault } => {
+        OperatorNotice::RowUnreadable { version, fault } => {
             tracing::error!(event = "row-unreadable", step = "read table", version, %fault);
         }
-        Notice::RevisionWentBack { found, in_force } => {
+        OperatorNotice::RevisionWentBack { found, in_force } => {
             tracing::error!(event = "revision-went-back", step = "read table", %found, %in_force);
         }
-        Notice::PeerSilent(peer) => tracing::warn!(event = "peer-silent", %peer),
-        Notice::PeerHeard(peer) => tracing::info!(event = "peer-heard", %peer),
-        Notice::TargetLeaving(target) => tracing::info!(event = "target-leaving", %target),
-        Notice::TargetSuspect(target) => {
+        OperatorNotice::PeerSilent(peer) => tracing::warn!(event = "peer-silent", %peer),
+        OperatorNotice::PeerHeard(peer) => tracing::info!(event = "peer-heard", %peer),
+        OperatorNotice::TargetLeaving(target) => tracing::info!(event = "target-leaving", %target),
+        OperatorNotice::TargetSuspect(target) => {
             tracing::warn!(event = "target-suspect", step = "connect", %target);
         }
-        Notice::TargetSaid { sequence, target, word } => {
+        OperatorNotice::TargetSaid { sequence, target, word } => {
             let hold_off_ms = word.hold_off.map(|span| span.as_millis());
             let leaving = word.leaving;
             let limit = word.limit.rate().map(tracing::field::display);
             tracing::info!(event = "target-word", %vm, %sequence, %target, leaving, hold_off_ms, limit);
         }
-        Notice::TargetLimit { sequence, target, limit } => {
+        OperatorNotice::TargetLimit { sequence, target, limit } => {
             let limit = limit.map(tracing::field::display);
             tracing::info!(event = "target-limit", %vm, %sequence, %target, limit);
         }
-        Notice::TargetCrashed { target, print, ran_ms } => {
+        OperatorNotice::TargetCrashed { target, print, ran_ms } => {
             tracing::warn!(event = "target-crashed", %vm, %target, %print, ran_ms);
         }
-        Notice::Quarantine(news) => quarantine_log::write(vm, news),
-        Notice::ArbiterSilent(peer) => {
+        OperatorNotice::Quarantine(news) => quarantine_log::write(vm, news),
+        OperatorNotice::ArbiterSilent(peer) => {
             tracing::warn!(event = "arbiter-silent", step = "ask", %peer);
         }
     }
--- a/src/target_client.rs
+++ b/src/target_client.rs
@@ -14,7 +14,7 @@
     util::{Bytes, stream_recv},
 };
 use ryetide_core::{
-    event::{AnswerHead, Event, LoadReport, TargetOrder, TargetRoute},
+    event::{AnswerHead, Event, LoadReport, TargetOperation, TargetRoute},
     ids::{AttemptNumber, RequestId, RequestSequence},
     request_print::RequestPrint,
     target_word::{LimitWord, TargetWord},
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct PermittedOrder {
     /// The order.
-    pub order: TargetOrder,
+    pub order: TargetOperation,
     /// The time limit of a dispatch.
     pub not_after: Instant,
 }
@@ -156,11 +156,11 @@
         // Abandoned before it was permitted.
         let Ok(PermittedOrder { order, not_after }) = order.await else { return };
         let end = match order {
-            TargetOrder::Dispatch { .. } if Instant::now() >= not_after => {
+            TargetOperation::Dispatch { .. } if Instant::now() >= not_after => {
                 tracing::warn!(event = "permit-lapsed", step = "dispatch", peer = %route.name);
                 None
             }
-            TargetOrder::Dispatch { id, call, print, answer_limit, not_after: _ } => {
+            TargetOperation::Dispatch { id, call, print, answer_limit, not_after: _ } => {
                 let limit = if route.engine { ByteSize(u64::MAX) } else { answer_limit };
                 let asked = if route.engine { "POST" } else { &call.method };
                 // The edge took it from a request that the library had read.
@@ -180,7 +180,7 @@
                 }
                 end
             }
-            TargetOrder::Resume { id, offset } => {
+            TargetOperation::Resume { id, offset } => {
                 let path = format!("{}?offset={offset}", engine_path(&id));
                 let sent = self.client.request(connection, Method::GET, &path).send().await;
                 if matches!(&sent, Ok(response) if response.status() == StatusCode::NOT_FOUND) {
