--- a/crates/ryetide-core/src/crash_blame.rs
+++ b/crates/ryetide-core/src/crash_attribution.rs
@@ -53,11 +53,11 @@
 
 /// The evidence for or against a request as the cause of its crashes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct BlameEvidence {
+pub struct AttributionEvidence {
     /// The number of crashes in which it ended.
     pub crashes: usize,
     /// The number of those that are attributed to it.
-    pub blamed: usize,
+    pub attributed: usize,
     /// The number of crashes without it in the same time.
     pub elsewhere: usize,
     /// The number of targets that could have crashed.
@@ -66,10 +66,10 @@
     pub chance_ppb: u64,
 }
 
-impl BlameEvidence {
+impl AttributionEvidence {
     /// Returns whether the request is considered the cause of its crashes.
     pub fn is_cause(&self) -> bool {
-        self.blamed >= MIN_CRASHES && self.chance_ppb <= CHANCE_LIMIT_PPB
+        self.attributed >= MIN_CRASHES && self.chance_ppb <= CHANCE_LIMIT_PPB
     }
 }
 
@@ -80,7 +80,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use ryetide_core::crash_blame::{AttributionCase, SharedCrash};
+    /// use ryetide_core::crash_attribution::{AttributionCase, SharedCrash};
     ///
     /// let crash = SharedCrash { ran: Duration::from_millis(80), most_of_others: 1 };
     /// let span = Duration::from_secs(10);
@@ -89,9 +89,9 @@
     /// case.crashes = vec![SharedCrash { most_of_others: 8, ..crash }; 3];
     /// assert!(!case.evaluate().is_cause());
     /// ```
-    pub fn evaluate(&self) -> BlameEvidence {
+    pub fn evaluate(&self) -> AttributionEvidence {
         let crashes = self.crashes.len();
-        let blamed =
+        let attributed =
             self.crashes.iter().filter(|crash| crash.most_of_others * 2 <= crashes).count();
         let ran: Duration = self.crashes.iter().map(|crash| crash.ran).sum();
         // One more crash than was observed, so that the rate is not zero before the first one.
@@ -100,7 +100,7 @@
         let chance = chance_of(crashes, crashes_per_second * ran.as_secs_f64());
         let (elsewhere, targets) = (self.elsewhere, self.targets);
         let chance_ppb = (chance * BILLION) as u64;
-        BlameEvidence { crashes, blamed, elsewhere, targets, chance_ppb }
+        AttributionEvidence { crashes, attributed, elsewhere, targets, chance_ppb }
     }
 }
 
--- a/crates/ryetide-core/src/effect.rs
+++ b/crates/ryetide-core/src/effect.rs
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    crash_ledger::QuarantineNews,
+    crash_ledger::QuarantineChange,
     event::{AnswerHead, FinalAnswer, TableCommand, TargetOperation, TargetRoute},
     ids::{
         AttemptNumber, OperationId, OrganisationName, RequestId, RequestSequence, ServiceName,
         TableToken, TargetKey, TargetName, TierName, VmName,
     },
     message::PeerMessage,
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     target_word::TargetWord,
     units::{RequestRate, Revision, Tokens},
 };
@@ -280,10 +280,10 @@
         /// The target.
         target: TargetKey,
         /// The fingerprint of the request.
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         /// How long the request had run, in milliseconds.
         ran_ms: u32,
     },
     /// The quarantine of a request that crashes targets has begun or ended.
-    Quarantine(QuarantineNews),
+    Quarantine(QuarantineChange),
 }
--- a/crates/ryetide-core/src/entry.rs
+++ b/crates/ryetide-core/src/entry.rs
@@ -25,7 +25,7 @@
     configuration::ConfigurationManager,
     crash_ledger::CrashLedger,
     effect::{Effect, EffectBuffer, OperatorNotice},
-    entry_standing::UnsettledRequest,
+    entry_quarantine::UndecidedRequest,
     event::{Event, ListedVm, TableAnswer},
     ids::{DataCentreName, Incarnation, RequestSequence, ScopeKey, TableToken, TargetKey, VmName},
     membership::PeerTable,
@@ -180,7 +180,7 @@
     /// Crashes of targets, and the requests that were running at the time.
     pub(crate) crashes: CrashLedger,
     /// Requests held back until it is known whether they crash targets.
-    pub(crate) unsettled: Vec<UnsettledRequest>,
+    pub(crate) undecided: Vec<UndecidedRequest>,
     pub(crate) watched: Vec<TargetKey>,
     pub(crate) verdicts: Vec<ArbiterVerdict>,
     pub(crate) notices: Vec<OperatorNotice>,
@@ -212,7 +212,7 @@
             limits: LimitBook::default(),
             unlisted_words: BTreeSet::new(),
             crashes: CrashLedger::default(),
-            unsettled: Vec::new(),
+            undecided: Vec::new(),
             watched: Vec::new(),
             verdicts: Vec::new(),
             notices: Vec::new(),
@@ -231,9 +231,9 @@
     pub fn step(&mut self, now: Moment, event: Event, effects: &mut EffectBuffer) {
         match event {
             Event::Tick => {}
-            Event::Arrived(request) => self.take_in(now, request, effects),
+            Event::Arrived(request) => self.admit_or_quarantine(now, request, effects),
             Event::CallerGone { sequence } => {
-                self.forget_unsettled(sequence);
+                self.drop_undecided(sequence);
                 self.handle_caller_gone(now, sequence, effects);
             }
             Event::Connected { sequence, attempt } => {
@@ -257,8 +257,8 @@
             Event::TargetSaid { sequence, target, word } => {
                 self.target_said(now, sequence, target, word, effects);
             }
-            Event::TargetCrashed { target, print, ran_ms } => {
-                self.target_crashed(now, target, print, ran_ms, effects);
+            Event::TargetCrashed { target, fingerprint, ran_ms } => {
+                self.target_crashed(now, target, fingerprint, ran_ms, effects);
             }
             Event::TargetRefused { sequence, attempt, leaving } => {
                 self.handle_target_refusal(now, sequence, attempt, leaving, effects);
@@ -295,7 +295,7 @@
         }
         let arbiters = self.arbiters.values().filter_map(|arbiter| arbiter.next_wake(now));
         let idle = self.maintained_at + IDLE_INTERVAL;
-        let held_back = self.unsettled.iter().map(|waiting| waiting.until).min();
+        let held_back = self.undecided.iter().map(|waiting| waiting.until).min();
         let wakes = arbiters.chain(self.requests.next_wake()).chain(held_back);
         wakes.chain([idle]).min().unwrap_or(idle).max(now)
     }
@@ -371,7 +371,7 @@
     /// Handles everything that is due at `now`, and delivers the arbiters' decisions.
     fn advance(&mut self, now: Moment, effects: &mut EffectBuffer) {
         self.more_due = false;
-        self.settle(now, effects);
+        self.admit_decided(now, effects);
         for _ in 0..WAKE_LIMIT {
             if !effects.has_room() {
                 break;
@@ -391,7 +391,7 @@
             }
         }
         self.deliver_verdicts(now, effects);
-        let quarantines = self.crashes.take_news().into_iter().map(OperatorNotice::Quarantine);
+        let quarantines = self.crashes.take_changes().into_iter().map(OperatorNotice::Quarantine);
         for notice in self.notices.drain(..).chain(quarantines) {
             effects.push(Effect::Note(notice));
         }
@@ -482,8 +482,8 @@
             return;
         }
         // Admission refuses every request while this VM drains, so these are answered immediately.
-        for waiting in std::mem::take(&mut self.unsettled) {
-            self.arrive(now, waiting.request, waiting.print, effects);
+        for waiting in std::mem::take(&mut self.undecided) {
+            self.arrive(now, waiting.request, waiting.fingerprint, effects);
         }
         let waiting: Vec<RequestSequence> = self
             .requests
--- a/crates/ryetide-core/src/entry_admission.rs
+++ b/crates/ryetide-core/src/entry_admission.rs
@@ -13,7 +13,7 @@
     ids::{AttemptNumber, OrganisationKey, RequestId, RequestSequence, ServiceKey, TableToken},
     message::{ClaimOutcome, PeerMessage, RefuseReason, RequestProfile, RequestRef},
     request::RequestRecord,
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     target_word::TargetWord,
     units::{ByteSize, Moment, TierRank},
 };
@@ -36,7 +36,7 @@
         &mut self,
         now: Moment,
         request: CallerRequest,
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         effects: &mut EffectBuffer,
     ) {
         let sequence = request.sequence;
@@ -47,7 +47,7 @@
                 let record = RequestRecord {
                     state: chart::request().initial(),
                     profile,
-                    print,
+                    fingerprint,
                     call: Some(request.call),
                     deadline: now + request.deadline,
                     arrived: now,
--- a/crates/ryetide-core/src/entry_dispatch.rs
+++ b/crates/ryetide-core/src/entry_dispatch.rs
@@ -95,8 +95,8 @@
         }
         record.dispatched = Some(record.dispatched.unwrap_or(now));
         let (attempt, answer_limit) = (record.attempt, record.answer_limit);
-        let (print, not_after) = (record.print, record.deadline);
-        let order = TargetOperation::Dispatch { id, call, print, answer_limit, not_after };
+        let (fingerprint, not_after) = (record.fingerprint, record.deadline);
+        let order = TargetOperation::Dispatch { id, call, fingerprint, answer_limit, not_after };
         let wake = self.idle_timeout_at(now, sequence, wait);
         self.requests.set_wake(sequence, wake);
         effects.push(Effect::Permit { sequence, attempt, order });
--- a/crates/ryetide-core/src/entry_end.rs
+++ b/crates/ryetide-core/src/entry_end.rs
@@ -97,7 +97,7 @@
             return;
         };
         if kind == OutcomeKind::Answered {
-            self.crashes.note_answered(now, record.print);
+            self.crashes.record_answered(now, record.fingerprint);
         }
         let release = match (kind, record.state) {
             (OutcomeKind::Answered, _) => ReleaseOutcome::Completed,
--- a/crates/ryetide-core/src/entry_peer.rs
+++ b/crates/ryetide-core/src/entry_peer.rs
@@ -98,7 +98,7 @@
             }
         }
         if !known || change.restarted || change.appeared {
-            self.crashes.retell(now);
+            self.crashes.resend_all(now);
         }
         if change.appeared {
             effects.push(Effect::Note(OperatorNotice::PeerHeard(name.clone())));
@@ -138,8 +138,8 @@
             let message = PeerMessage::Heartbeat(heartbeat.clone());
             effects.push(Effect::Send { to: peer.name.clone(), message });
         }
-        let crashes = self.crashes.whole_news(now);
-        self.tell_crashes(&crashes, effects);
+        let crashes = self.crashes.full_update(now);
+        self.send_crash_update(&crashes, effects);
         self.tell_words(now, effects);
         self.tell_limits(now, effects);
     }
--- a/crates/ryetide-core/src/entry_standing.rs
+++ b/crates/ryetide-core/src/entry_quarantine.rs
@@ -3,62 +3,62 @@
 use std::time::Duration;
 
 use crate::{
-    crash_ledger::{CrashNews, CrashedRun, RequestStanding},
+    crash_ledger::{CrashUpdate, CrashedRun, QuarantineStatus},
     effect::{Effect, EffectBuffer, OperatorNotice},
     entry::EntryCore,
     entry_admission,
     event::{CallerRequest, FinalAnswer},
     ids::{OrganisationName, RequestSequence, ServiceKey, TargetKey},
     message::{PeerMessage, RefuseReason},
-    request_print::{RequestContent, RequestPrint},
+    request_fingerprint::{RequestContent, RequestFingerprint},
     units::Moment,
 };
 
 /// A request that waits until it is decided whether it caused crashes.
 #[derive(Debug)]
-pub(crate) struct UnsettledRequest {
+pub(crate) struct UndecidedRequest {
     /// The end of the wait.
     pub until: Moment,
     /// The request, with the time to its deadline when it arrived.
     pub request: CallerRequest,
     /// The fingerprint of the request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// When it arrived.
     arrived: Moment,
 }
 
 impl EntryCore {
     /// Admits a request, delays it, or refuses it if it is quarantined.
-    pub(crate) fn take_in(
+    pub(crate) fn admit_or_quarantine(
         &mut self,
         now: Moment,
         request: CallerRequest,
         effects: &mut EffectBuffer,
     ) {
-        let print = print_of(&request);
-        self.decide_admission(now, request, print, effects);
+        let fingerprint = fingerprint_of(&request);
+        self.decide_admission(now, request, fingerprint, effects);
     }
 
     fn decide_admission(
         &mut self,
         now: Moment,
         request: CallerRequest,
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         effects: &mut EffectBuffer,
     ) {
-        let status = if self.is_draining() || !self.crashes.is_suspect(print) {
-            RequestStanding::Clear
+        let status = if self.is_draining() || !self.crashes.is_suspect(fingerprint) {
+            QuarantineStatus::Clear
         } else {
             let targets = self.target_count(&request);
-            self.crashes.standing(now, print, targets)
+            self.crashes.quarantine_status(now, fingerprint, targets)
         };
         match status {
-            RequestStanding::Clear => self.arrive(now, request, print, effects),
-            RequestStanding::Unsettled(until) => {
+            QuarantineStatus::Clear => self.arrive(now, request, fingerprint, effects),
+            QuarantineStatus::Undecided(until) => {
                 let until = until.min(now + request.deadline);
-                self.unsettled.push(UnsettledRequest { until, request, print, arrived: now });
+                self.undecided.push(UndecidedRequest { until, request, fingerprint, arrived: now });
             }
-            RequestStanding::Quarantined(span) => {
+            QuarantineStatus::Quarantined(span) => {
                 let (sequence, has_key) = (request.sequence, request.key.is_some());
                 let reason = RefuseReason::Quarantined;
                 let answer = FinalAnswer::NotRun { reason, retry_after: Some(span) };
@@ -76,19 +76,19 @@
     }
 
     /// Decides on the delayed requests that are due.
-    pub(crate) fn settle(&mut self, now: Moment, effects: &mut EffectBuffer) {
-        let due: Vec<UnsettledRequest> =
-            self.unsettled.extract_if(.., |waiting| waiting.until <= now).collect();
-        for UnsettledRequest { mut request, print, arrived, .. } in due {
+    pub(crate) fn admit_decided(&mut self, now: Moment, effects: &mut EffectBuffer) {
+        let due: Vec<UndecidedRequest> =
+            self.undecided.extract_if(.., |waiting| waiting.until <= now).collect();
+        for UndecidedRequest { mut request, fingerprint, arrived, .. } in due {
             // A deadline of zero makes the admission refuse the request as too late.
             request.deadline = request.deadline.saturating_sub(now.since(arrived));
-            self.decide_admission(now, request, print, effects);
+            self.decide_admission(now, request, fingerprint, effects);
         }
     }
 
     /// Drops a delayed request whose caller has disconnected.
-    pub(crate) fn forget_unsettled(&mut self, sequence: RequestSequence) {
-        self.unsettled.retain(|waiting| waiting.request.sequence != sequence);
+    pub(crate) fn drop_undecided(&mut self, sequence: RequestSequence) {
+        self.undecided.retain(|waiting| waiting.request.sequence != sequence);
     }
 
     /// Records that a target crashed while it ran a request, and reports it to all peers. The end
@@ -97,23 +97,23 @@
         &mut self,
         now: Moment,
         target: TargetKey,
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         ran_ms: u32,
         effects: &mut EffectBuffer,
     ) {
         if self.is_leaving(target) {
             return;
         }
-        self.notices.push(OperatorNotice::TargetCrashed { target, print, ran_ms });
+        self.notices.push(OperatorNotice::TargetCrashed { target, fingerprint, ran_ms });
         let ran = Duration::from_millis(u64::from(ran_ms));
-        self.crashes.note_crash(now, target, &[CrashedRun { print, ran }]);
-        let update = self.crashes.brief_news(now);
-        self.tell_crashes(&update, effects);
+        self.crashes.record_crash(now, target, &[CrashedRun { fingerprint, ran }]);
+        let update = self.crashes.own_update(now);
+        self.send_crash_update(&update, effects);
     }
 
     /// Sends an update on crashes to all peers, unless it is empty.
-    pub(crate) fn tell_crashes(&mut self, update: &CrashNews, effects: &mut EffectBuffer) {
-        if *update == CrashNews::default() {
+    pub(crate) fn send_crash_update(&mut self, update: &CrashUpdate, effects: &mut EffectBuffer) {
+        if *update == CrashUpdate::default() {
             return;
         }
         for peer in self.peers.iter() {
@@ -123,9 +123,9 @@
     }
 }
 
-fn print_of(request: &CallerRequest) -> RequestPrint {
+fn fingerprint_of(request: &CallerRequest) -> RequestFingerprint {
     let caller = OrganisationName::from(request.organisation.as_str());
-    RequestPrint::of(&RequestContent {
+    RequestFingerprint::of(&RequestContent {
         caller: Some(&caller),
         method: &request.call.method,
         host: &request.service,
--- a/crates/ryetide-core/src/event.rs
+++ b/crates/ryetide-core/src/event.rs
@@ -13,7 +13,7 @@
         TableToken, TargetKey, TargetName, VmName,
     },
     message::{PeerMessage, RefuseReason, StoredAnswer},
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     target_word::TargetWord,
     units::{ByteSize, Moment, Revision, Tokens},
 };
@@ -81,7 +81,7 @@
         /// The content to send.
         call: TargetCall,
         /// The request's fingerprint, by which it is recognised when it is repeated.
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         /// The largest answer to accept.
         answer_limit: ByteSize,
         /// The time after which nothing may be sent. The driver checks it immediately before the
@@ -259,7 +259,7 @@
         /// The target.
         target: TargetKey,
         /// The fingerprint of the request.
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         /// How long the request had run, in milliseconds.
         ran_ms: u32,
     },
--- a/crates/ryetide-core/src/lib.rs
+++ b/crates/ryetide-core/src/lib.rs
@@ -29,9 +29,9 @@
 //! | [`arbiter`], [`slot_request`], [`queue`], [`target_estimate`], [`affinity`], [`retry`] | order, admission and placement of requests for a service |
 //! | [`membership`] | the peers, and which VM arbitrates a service |
 //! | [`claim`], [`configuration`], [`request`] | the state behind the guarantees |
-//! | [`request_print`], [`crash_ledger`], [`crash_blame`] | requests that crash targets |
+//! | [`request_fingerprint`], [`crash_ledger`], [`crash_attribution`] | requests that crash targets |
 //! | [`route`], [`route_text`], [`quota`], [`quota_desk`], [`retry_budget`], [`comeback_time`] | routed requests: their routes, quotas and retries |
-//! | [`rollout_order`], [`rollout_desk`], [`service_rollout`], [`rollout_evidence`], [`rollout_judge`] | rollouts of new versions: their traffic, evaluation and outcome |
+//! | [`rollout_order`], [`rollout_manager`], [`service_rollout`], [`rollout_evidence`], [`rollout_evaluation`] | rollouts of new versions: their traffic, evaluation and outcome |
 //! | [`scheduler`], [`scheduler_options`], [`line_view`], [`wait_line`], [`recent_arrivals`], [`deadline_habit`], [`decision`] | queueing and refusal of routed requests |
 //! | [`placing`], [`target_load`], [`target_health`], [`pace`], [`prompt_memory`] | placement of routed requests |
 //! | [`load_digest`], [`peer_board`], [`cell_plan`], [`digest_pace`], [`digest_route`] | load reports between entry VMs |
@@ -50,7 +50,7 @@
 pub mod claim;
 pub mod comeback_time;
 pub mod configuration;
-pub mod crash_blame;
+pub mod crash_attribution;
 pub mod crash_ledger;
 pub mod deadline_habit;
 pub mod decision;
@@ -65,9 +65,9 @@
 mod entry_end;
 mod entry_limit;
 mod entry_peer;
+mod entry_quarantine;
 mod entry_resume;
 mod entry_slot;
-mod entry_standing;
 mod entry_word;
 pub mod era_version;
 pub mod event;
@@ -89,12 +89,12 @@
 pub mod quota_desk;
 pub mod recent_arrivals;
 pub mod request;
-pub mod request_print;
+pub mod request_fingerprint;
 pub mod retry;
 pub mod retry_budget;
-pub mod rollout_desk;
+pub mod rollout_evaluation;
 pub mod rollout_evidence;
-pub mod rollout_judge;
+pub mod rollout_manager;
 pub mod rollout_order;
 pub mod route;
 pub mod route_text;
--- a/crates/ryetide-core/src/load_digest.rs
+++ b/crates/ryetide-core/src/load_digest.rs
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    crash_ledger::CrashNews,
+    crash_ledger::CrashUpdate,
     ids::{DataCentreName, Incarnation, OrganisationKey, ServiceKey, TargetKey, VmName},
     pace::PaceReport,
     place_turn::ClaimClass,
-    service_rollout::RolloutMark,
+    service_rollout::RolloutProgress,
     target_limit::LimitMark,
     target_word::LeavingMark,
     units::Revision,
@@ -122,12 +122,12 @@
     /// The most recent placements of prompts, newest last.
     pub placed: Vec<PlacedPrompt>,
     /// Which requests crashed targets.
-    pub crashes: CrashNews,
+    pub crashes: CrashUpdate,
     /// Targets that have announced in their answers that they are leaving, where the registry does
     /// not say so.
     pub leaving_targets: Vec<LeavingMark>,
     /// The progress of rollouts.
-    pub rollouts: Vec<RolloutMark>,
+    pub rollouts: Vec<RolloutProgress>,
     /// The limits that targets have last announced.
     pub limits: Vec<LimitMark>,
 }
--- a/crates/ryetide-core/src/message.rs
+++ b/crates/ryetide-core/src/message.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    crash_ledger::CrashNews,
+    crash_ledger::CrashUpdate,
     ids::{
         DataCentreKey, DataCentreName, Incarnation, OperationId, OrganisationKey, RequestId,
         RequestSequence, ScopeKey, ServiceKey, TargetKey, VmName,
@@ -306,7 +306,7 @@
         outcome: ClaimOutcome,
     },
     /// Reports the requests that ran on targets when they crashed.
-    Crashes(CrashNews),
+    Crashes(CrashUpdate),
     /// Reports targets that announced in their answers that they are leaving.
     Leaving(Vec<LeavingMark>),
     /// Reports the latest rate limits that targets announced in their answers.
--- a/crates/ryetide-core/src/request.rs
+++ b/crates/ryetide-core/src/request.rs
@@ -10,7 +10,7 @@
     event::{TargetCall, TargetRoute},
     ids::{AttemptNumber, RequestSequence, ScopeKey, TargetKey, VmName},
     message::{RefuseReason, RequestProfile},
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     target_word::TargetWord,
     units::{ByteSize, Moment},
 };
@@ -46,7 +46,7 @@
     /// The properties by which an arbiter orders and places the request.
     pub profile: RequestProfile,
     /// The fingerprint by which the request is recognised when it is repeated.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// The content to forward to the target; taken when it is sent.
     pub call: Option<TargetCall>,
     /// The caller's deadline.
--- a/crates/ryetide-core/src/request_print.rs
+++ b/crates/ryetide-core/src/request_fingerprint.rs
@@ -16,17 +16,17 @@
 /// # Example
 ///
 /// ```
-/// use ryetide_core::request_print::{RequestContent, RequestPrint};
+/// use ryetide_core::request_fingerprint::{RequestContent, RequestFingerprint};
 ///
 /// let (method, host, path) = ("GET", "desk", "/a");
 /// let content = RequestContent { caller: None, method, host, path, body: b"" };
-/// let fingerprint = RequestPrint::of(&content);
-/// assert_eq!(fingerprint.to_string().parse::<RequestPrint>().unwrap(), fingerprint);
-/// assert_ne!(fingerprint, RequestPrint::of(&RequestContent { path: "/b", ..content }));
+/// let fingerprint = RequestFingerprint::of(&content);
+/// assert_eq!(fingerprint.to_string().parse::<RequestFingerprint>().unwrap(), fingerprint);
+/// assert_ne!(fingerprint, RequestFingerprint::of(&RequestContent { path: "/b", ..content }));
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(transparent)]
-pub struct RequestPrint(pub u64);
+pub struct RequestFingerprint(pub u64);
 
 /// The parts of a request that identify it.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
     pub body: &'a [u8],
 }
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// Returns the fingerprint of a request.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let caller = content.caller.map_or("", OrganisationName::as_str);
@@ -59,13 +59,13 @@
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}", self.0)
     }
 }
 
-impl FromStr for RequestPrint {
+impl FromStr for RequestFingerprint {
     type Err = ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
--- a/crates/ryetide-core/src/rollout_judge.rs
+++ b/crates/ryetide-core/src/rollout_evaluation.rs
@@ -76,23 +76,23 @@
     /// The new version is as good as the old one.
     Good,
     /// The new version is worse than the old one.
-    Bad(JudgeReason),
+    Bad(VerdictReason),
 }
 
 /// The reason for a verdict.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum JudgeReason {
+pub enum VerdictReason {
     /// The answers of the new version are like those of the old one.
     AsGood,
     /// Too many answers failed.
-    Failures(JudgedRate),
+    Failures(RateComparison),
     /// Too many answers were slow.
-    Slowness(JudgedRate),
+    Slowness(RateComparison),
 }
 
 /// The expected and the observed rate in the test that decided.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct JudgedRate {
+pub struct RateComparison {
     /// The rate that was expected.
     pub expected: f64,
     /// The rate that was found.
@@ -152,7 +152,7 @@
 struct RatioTest {
     /// The log-likelihood ratio. It is positive if the answers are likelier for a bad version.
     log_ratio: f64,
-    rate: JudgedRate,
+    rate: RateComparison,
 }
 
 impl RatioTest {
@@ -162,7 +162,7 @@
         let log_ratio =
             hits * (worse / expected).ln() + misses * ((1.0 - worse) / (1.0 - expected)).ln();
         let found = hits / f64::from(answers.max(1));
-        Self { log_ratio, rate: JudgedRate { expected, found, answers } }
+        Self { log_ratio, rate: RateComparison { expected, found, answers } }
     }
 
     /// Returns the test with a ratio that favours neither hypothesis.
@@ -296,15 +296,15 @@
     };
     let has_loaded = loaded.rate.answers >= MIN_ROUTE_ANSWERS;
     if has_loaded && loaded.log_ratio > BAD_FAILED {
-        return RolloutVerdict::Bad(JudgeReason::Failures(loaded.rate));
+        return RolloutVerdict::Bad(VerdictReason::Failures(loaded.rate));
     }
     if failures.max(worst_failures.log_ratio) > BAD_FAILED {
-        return RolloutVerdict::Bad(JudgeReason::Failures(worst_failures.rate));
+        return RolloutVerdict::Bad(VerdictReason::Failures(worst_failures.rate));
     }
     if let Some(worst) = worst(|it| it.slowness)
         && slowness.max(worst.log_ratio) > bad_slow
     {
-        return RolloutVerdict::Bad(JudgeReason::Slowness(worst.rate));
+        return RolloutVerdict::Bad(VerdictReason::Slowness(worst.rate));
     }
     // Failures that occur at fully loaded targets only would occur everywhere once all traffic
     // moves.
--- a/crates/ryetide-core/src/rollout_evidence.rs
+++ b/crates/ryetide-core/src/rollout_evidence.rs
@@ -107,7 +107,7 @@
 
 /// The result of one run at a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct RunNote {
+pub struct RunSample {
     /// The target.
     pub target: TargetKey,
     /// The route.
@@ -139,7 +139,7 @@
     ///
     /// The time of a run in a narrow slice of a trial is not compared with those of the old
     /// version.
-    pub fn record(&mut self, now: Moment, side: VersionSide, sample: RunNote, narrow: bool) {
+    pub fn record(&mut self, now: Moment, side: VersionSide, sample: RunSample, narrow: bool) {
         let route = self.route_of(sample.route);
         let pace = sample.pace.filter(|_| !narrow);
         let slow = pace.and_then(|pace| self.is_slow(now, route, pace));
--- a/crates/ryetide-core/src/rollout_desk.rs
+++ b/crates/ryetide-core/src/rollout_manager.rs
@@ -10,10 +10,10 @@
 use crate::{
     chart::RolloutState,
     ids::{Incarnation, ServiceKey, ServiceName, TargetKey, VersionName, VmName},
-    rollout_evidence::{RunNote, VersionSide},
+    rollout_evidence::{RunSample, VersionSide},
     rollout_order::{RolloutDuty, RolloutOrder, RolloutReport, RolloutRule},
     service_rollout::{
-        self, FleetSight, RolloutChange, RolloutContext, RolloutMark, ServiceRollout,
+        self, FleetReachability, RolloutChange, RolloutContext, RolloutProgress, ServiceRollout,
     },
     target_load::TargetEntry,
     units::Moment,
@@ -53,7 +53,7 @@
 
 /// Manages the versions of all services and the rollout orders for them.
 #[derive(Debug)]
-pub struct RolloutDesk {
+pub struct RolloutManager {
     own: VmName,
     rule: RolloutRule,
     services: BTreeMap<ServiceName, ServiceVersions>,
@@ -65,7 +65,7 @@
     changes: Vec<RolloutChange>,
 }
 
-impl RolloutDesk {
+impl RolloutManager {
     /// Creates a manager without any service.
     pub fn new(own: VmName, rule: RolloutRule) -> Self {
         Self { own, rule, services: BTreeMap::new(), knows_targets: false, changes: Vec::new() }
@@ -109,12 +109,12 @@
             if known.number >= order.number {
                 return;
             }
-            if order.is_again(known) {
+            if order.is_same_order(known) {
                 rollout.renumber(order.number);
                 versions.previous = None;
                 return;
             }
-            if versions.previous.as_ref().is_some_and(|previous| order.is_again(previous)) {
+            if versions.previous.as_ref().is_some_and(|previous| order.is_same_order(previous)) {
                 // The backup does not hold the order in force. That one will be written again.
                 return;
             }
@@ -133,12 +133,12 @@
 
     /// Applies a peer's progress reports. Reports of orders that are unknown here are ignored,
     /// since the orders themselves are read from the operators' table.
-    pub fn take_marks(
+    pub fn take_progress(
         &mut self,
         now: Moment,
         from: &VmName,
         incarnation: Incarnation,
-        reports: &[RolloutMark],
+        reports: &[RolloutProgress],
     ) {
         for progress in reports {
             let mut services = self.services.iter_mut();
@@ -183,7 +183,7 @@
         &self,
         now: Moment,
         service: &ServiceName,
-        reachability: &FleetSight,
+        reachability: &FleetReachability,
         targets: &[TargetKey],
     ) -> Vec<TargetKey> {
         let rollout = self.rollout(service);
@@ -191,7 +191,7 @@
     }
 
     /// Counts a request that was placed.
-    pub fn note_placed(&mut self, now: Moment, entry: &TargetEntry) {
+    pub fn record_placed(&mut self, now: Moment, entry: &TargetEntry) {
         let Some(side) = self.side(entry) else { return };
         if let Some(versions) = self.services.get_mut(&entry.service) {
             versions.with_rollout(|rollout| rollout.record_placed(now, side));
@@ -199,7 +199,7 @@
     }
 
     /// Adds the result of a run to the evidence of the order in progress, if any.
-    pub fn note_run(&mut self, now: Moment, entry: &TargetEntry, sample: RunNote) {
+    pub fn record_run(&mut self, now: Moment, entry: &TargetEntry, sample: RunSample) {
         let Some(side) = self.side(entry) else { return };
         if let Some(versions) = self.services.get_mut(&entry.service) {
             versions.with_rollout(|rollout| rollout.record_run(now, side, sample));
@@ -211,7 +211,7 @@
     pub fn advance(
         &mut self,
         now: Moment,
-        reachability: &FleetSight,
+        reachability: &FleetReachability,
         in_flight_old: impl Fn(&ServiceName) -> u32,
     ) {
         for (name, versions) in &mut self.services {
@@ -237,12 +237,12 @@
     }
 
     /// Returns the progress reports for peers.
-    pub fn marks(
+    pub fn progress(
         &self,
         now: Moment,
         with_tallies: bool,
         in_flight_old: impl Fn(&ServiceName) -> u32,
-    ) -> Vec<RolloutMark> {
+    ) -> Vec<RolloutProgress> {
         let reported = self.rollouts().filter(|rollout| {
             !rollout.is_ended() || rollout.age(now) < rollout.order().duration + ENDED_REPORT_SPAN
         });
--- a/crates/ryetide-core/src/rollout_order.rs
+++ b/crates/ryetide-core/src/rollout_order.rs
@@ -45,7 +45,7 @@
 impl RolloutOrder {
     /// Returns whether this is the order `known` in an operators' table restored from a backup:
     /// either as the backup held it, or written again afterwards.
-    pub fn is_again(&self, known: &Self) -> bool {
+    pub fn is_same_order(&self, known: &Self) -> bool {
         let is_later = self.number.version().era > known.number.version().era;
         let is_same = (&self.service, &self.to) == (&known.service, &known.to);
         is_later && is_same && self.duration == known.duration
@@ -72,7 +72,7 @@
 
 /// The status of an order in the operators' row.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum RolloutWord {
+pub enum RolloutStatus {
     /// There is no result yet.
     Running,
     /// All traffic goes to the new version; the old targets may stop at once.
@@ -81,7 +81,7 @@
     RolledBack,
 }
 
-impl fmt::Display for RolloutWord {
+impl fmt::Display for RolloutStatus {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Running => "running",
@@ -109,7 +109,7 @@
     /// are lost.
     Remember,
     /// Write the result of the order, unless there is one already.
-    End(RolloutWord),
+    End(RolloutStatus),
 }
 
 /// The content of the operators' row after a task, read or written.
@@ -120,7 +120,7 @@
     /// The order.
     pub number: OrderNumber,
     /// The status in the row.
-    pub word: RolloutWord,
+    pub status: RolloutStatus,
     /// The time since any VM first saw the order, if that is stored.
     pub age: Option<Duration>,
     /// Whether the store holds that the version passed its trial.
--- a/crates/ryetide-core/src/scheduler.rs
+++ b/crates/ryetide-core/src/scheduler.rs
@@ -17,7 +17,7 @@
 use crate::{
     cell_plan::{CellMember, CellPlan},
     comeback_time::ComebackTime,
-    crash_ledger::{CrashLedger, CrashedRun, RequestStanding},
+    crash_ledger::{CrashLedger, CrashedRun, QuarantineStatus},
     decision::{Decision, PlacingEvidence, RefusalReason, RunEnd},
     digest_pace::DigestPace,
     digest_route::DigestRoute,
@@ -28,9 +28,9 @@
     peer_board::{FeedLag, PeerBoard},
     quota::QuotaCharge,
     quota_desk::{QuotaAnswer, QuotaAsk, QuotaDesk, QuotaVerdict},
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     retry_budget::{RetryBudget, RetryRule},
-    rollout_desk::{RolloutDesk, TargetUse},
+    rollout_manager::{RolloutManager, TargetUse},
     scheduler_options::SchedulerOptions,
     target_limit::LimitBook,
     target_load::{TargetEntry, TargetLoad},
@@ -67,7 +67,7 @@
     pub(crate) limits_fresh_until: Moment,
     /// Whether this VM is shutting down.
     pub(crate) leaving: bool,
-    pub(crate) rollouts: RolloutDesk,
+    pub(crate) rollouts: RolloutManager,
     pub(crate) teller: DigestTeller,
     pub(crate) pace: DigestPace,
     pub(crate) route: DigestRoute,
@@ -95,7 +95,7 @@
             retry_delay: ComebackTime::new(options.seed),
             route: DigestRoute::new(options.seed),
             retry_budget: RetryBudget::new(options.retry),
-            rollouts: RolloutDesk::new(options.name.clone(), options.rollout),
+            rollouts: RolloutManager::new(options.name.clone(), options.rollout),
             options,
             plan,
             services: BTreeMap::new(),
@@ -390,24 +390,24 @@
     }
 
     /// Records the requests of this VM that were running when a target crashed.
-    pub fn note_crash(&mut self, now: Moment, target: TargetKey, runs: &[CrashedRun]) {
-        self.crashes.note_crash(now, target, runs);
+    pub fn record_crash(&mut self, now: Moment, target: TargetKey, runs: &[CrashedRun]) {
+        self.crashes.record_crash(now, target, runs);
         self.changed = true;
     }
 
     /// Returns whether a request may be sent to the targets of `service`, given the crashes
     /// attributed to it.
-    pub fn standing(
+    pub fn quarantine_status(
         &mut self,
         now: Moment,
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         service: &ServiceName,
-    ) -> RequestStanding {
-        if !self.crashes.is_suspect(print) {
-            return RequestStanding::Clear;
+    ) -> QuarantineStatus {
+        if !self.crashes.is_suspect(fingerprint) {
+            return QuarantineStatus::Clear;
         }
         let of_service = self.targets.values().filter(|load| load.entry().service == *service);
-        self.crashes.standing(now, print, of_service.count())
+        self.crashes.quarantine_status(now, fingerprint, of_service.count())
     }
 
     /// Returns the targets, for reports.
@@ -480,7 +480,7 @@
         let run = PlacedRun { service: service.clone(), target, since: now, last_event: None };
         self.runs.insert(ticket, run);
         let target = load.entry().clone();
-        self.rollouts.note_placed(now, &target);
+        self.rollouts.record_placed(now, &target);
         self.decisions.push(Decision::Place { ticket, target, evidence });
         self.changed = true;
     }
@@ -523,8 +523,8 @@
         if state.trial.keys.is_empty() {
             return Some(view);
         }
-        let sight = self.fleet_sight(now);
-        let trial = self.rollouts.trial_targets(now, service, &sight, &state.trial.keys);
+        let reachability = self.fleet_reachability(now);
+        let trial = self.rollouts.trial_targets(now, service, &reachability, &state.trial.keys);
         Some(view.with_trial(&trial, &self.targets))
     }
 }
--- a/crates/ryetide-core/src/scheduler_digests.rs
+++ b/crates/ryetide-core/src/scheduler_digests.rs
@@ -21,17 +21,17 @@
             DigestChange::Newer { placed, silent_for } => (placed, silent_for),
             DigestChange::NewLife => {
                 self.quotas.forget_peer(&from);
-                self.crashes.retell(now);
+                self.crashes.resend_all(now);
                 (digest.placed.last().map_or(0, |placed| placed.number), Duration::ZERO)
             }
         };
         if silent_for >= peer_board::HEARD_SPAN {
-            self.crashes.retell(now);
+            self.crashes.resend_all(now);
         }
         self.crashes.take(now, &digest.crashes);
         if !digest.rollouts.is_empty() {
-            self.with_rollouts(now, |desk, now| {
-                desk.take_marks(now, &from, digest.incarnation, &digest.rollouts);
+            self.with_rollouts(now, |manager, now| {
+                manager.take_progress(now, &from, digest.incarnation, &digest.rollouts);
             });
         }
         self.take_limits(now, &digest.limits);
@@ -90,9 +90,9 @@
             registry: state.registry,
             watch: state.watch,
             spent: self.quotas.ledger().totals().collect(),
-            crashes: self.crashes.brief_news(now),
+            crashes: self.crashes.own_update(now),
             leaving_targets: state.leaving_targets,
-            rollouts: self.rollout_marks(now, true),
+            rollouts: self.rollout_progress(now, true),
             limits: self.limits.told(now),
             ..LoadDigest::default()
         }
@@ -133,14 +133,14 @@
             let touched = self.teller.touched();
             let changed = touched.iter().filter_map(|key| self.targets.get(key));
             let targets = changed.map(|load| TargetMark { pace: None, ..load.mark(now) }).collect();
-            let (data_centre, crashes) = (None, self.crashes.changed_news(now, span));
+            let (data_centre, crashes) = (None, self.crashes.recent_update(now, span));
             let changes = LoadDigest { scope, data_centre, targets, waiting, ..brief };
-            let rollouts = self.rollout_marks(now, false);
+            let rollouts = self.rollout_progress(now, false);
             return LoadDigest { placed, spent, crashes, rollouts, ..changes };
         }
         let loaded = self.targets.values().filter(|load| load.has_news(now));
         let targets = loaded.map(|load| load.mark(now)).collect();
-        let crashes = self.crashes.whole_news(now);
+        let crashes = self.crashes.full_update(now);
         LoadDigest { scope, targets, waiting, placed, crashes, ..brief }
     }
 }
--- a/crates/ryetide-core/src/scheduler_rollouts.rs
+++ b/crates/ryetide-core/src/scheduler_rollouts.rs
@@ -5,11 +5,11 @@
 
 use crate::{
     ids::{ServiceName, VmName},
-    rollout_desk::RolloutDesk,
-    rollout_evidence::{RunNote, VersionSide},
+    rollout_evidence::{RunSample, VersionSide},
+    rollout_manager::RolloutManager,
     rollout_order::{RolloutDuty, RolloutRule},
     scheduler::Scheduler,
-    service_rollout::{FleetSight, RolloutMark},
+    service_rollout::{FleetReachability, RolloutProgress},
     target_load::TargetLoad,
     units::Moment,
 };
@@ -26,7 +26,7 @@
     pub fn with_rollouts<T>(
         &mut self,
         now: Moment,
-        act: impl FnOnce(&mut RolloutDesk, Moment) -> T,
+        act: impl FnOnce(&mut RolloutManager, Moment) -> T,
     ) -> T {
         let outcome = act(&mut self.rollouts, now);
         if self.rollouts.has_changes() {
@@ -40,7 +40,7 @@
     /// Evaluates the new versions of all orders in progress.
     pub fn advance_rollouts(&mut self, now: Moment) {
         let in_flight = self.in_flight_at_old();
-        let reachability = self.fleet_sight(now);
+        let reachability = self.fleet_reachability(now);
         self.with_rollouts(now, |manager, now| {
             let of_service = |service: &ServiceName| in_flight.get(service).copied().unwrap_or(0);
             manager.advance(now, &reachability, of_service);
@@ -48,7 +48,7 @@
     }
 
     /// Returns the versions of services and the orders that change them.
-    pub fn rollouts(&self) -> &RolloutDesk {
+    pub fn rollouts(&self) -> &RolloutManager {
         &self.rollouts
     }
 
@@ -63,17 +63,17 @@
     }
 
     /// Adds the result of a run to the evidence on its target's version.
-    pub fn note_run(&mut self, now: Moment, sample: RunNote) {
+    pub fn record_run(&mut self, now: Moment, sample: RunSample) {
         if let Some(load) = self.targets.get(&sample.target) {
-            self.rollouts.note_run(now, load.entry(), sample);
+            self.rollouts.record_run(now, load.entry(), sample);
         }
     }
 
     /// Returns the progress of orders, as reported to peers.
-    pub(crate) fn rollout_marks(&self, now: Moment, with_tallies: bool) -> Vec<RolloutMark> {
+    pub(crate) fn rollout_progress(&self, now: Moment, with_tallies: bool) -> Vec<RolloutProgress> {
         let in_flight = self.in_flight_at_old();
         let of_service = |service: &ServiceName| in_flight.get(service).copied().unwrap_or(0);
-        self.rollouts.marks(now, with_tallies, of_service)
+        self.rollouts.progress(now, with_tallies, of_service)
     }
 
     /// Counts the requests of this VM that are in flight at old targets, for each service with an
@@ -93,8 +93,8 @@
     }
 
     /// Returns how much of the fleet this VM hears from.
-    pub(crate) fn fleet_sight(&self, now: Moment) -> FleetSight {
+    pub(crate) fn fleet_reachability(&self, now: Moment) -> FleetReachability {
         let reachable_share = self.peers.heard_part(now);
-        FleetSight { reachable_share, vms: self.peers.known_count(now) }
+        FleetReachability { reachable_share, vms: self.peers.known_count(now) }
     }
 }
--- a/crates/ryetide-core/src/service_rollout.rs
+++ b/crates/ryetide-core/src/service_rollout.rs
@@ -37,11 +37,11 @@
 use crate::{
     chart::{self, RolloutEvent, RolloutState},
     ids::{Incarnation, ServiceKey, TargetKey, VmName},
-    rollout_evidence::{AnswerCount, AnswerTally, RolloutEvidence, RunNote, VersionSide},
-    rollout_judge::{self, EvaluationInput, JudgeReason, RolloutVerdict},
+    rollout_evaluation::{self, EvaluationInput, RolloutVerdict, VerdictReason},
+    rollout_evidence::{AnswerCount, AnswerTally, RolloutEvidence, RunSample, VersionSide},
     rollout_order::{
-        OrderNumber, RolloutDuty, RolloutOrder, RolloutReport, RolloutRule, RolloutTask,
-        RolloutWord,
+        OrderNumber, RolloutDuty, RolloutOrder, RolloutReport, RolloutRule, RolloutStatus,
+        RolloutTask,
     },
     units::Moment,
 };
@@ -90,7 +90,7 @@
 
 /// The progress of an order at one VM, as reported to its peers.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct RolloutMark {
+pub struct RolloutProgress {
     /// The service.
     pub service: ServiceKey,
     /// The order.
@@ -137,7 +137,7 @@
     /// A peer has reported the state.
     Peer,
     /// The evidence was sufficient.
-    Evidence(JudgeReason),
+    Evidence(VerdictReason),
     /// The time for the trial ended with insufficient evidence. What there is decides; without any,
     /// the traffic stays at the old version.
     LittleEvidence,
@@ -151,7 +151,7 @@
 
 /// How much of the fleet this VM hears from.
 #[derive(Clone, Copy, Debug)]
-pub struct FleetSight {
+pub struct FleetReachability {
     /// The share of the entry VMs that this VM hears from.
     pub reachable_share: f64,
     /// The number of entry VMs, including this one.
@@ -162,7 +162,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutContext {
     /// How much of the fleet this VM hears from.
-    pub reachability: FleetSight,
+    pub reachability: FleetReachability,
     /// The number of targets of the new version.
     pub new_targets: usize,
     /// Requests of this VM that are in flight at the old version.
@@ -271,11 +271,11 @@
         }
         self.pass_stored |= report.passed;
         self.must_rewrite_row = false;
-        let event = match report.word {
-            RolloutWord::Running if report.passed => RolloutEvent::Passed,
-            RolloutWord::Running => RolloutEvent::Opened,
-            RolloutWord::Completed => RolloutEvent::RowCompleted,
-            RolloutWord::RolledBack => RolloutEvent::RowRolledBack,
+        let event = match report.status {
+            RolloutStatus::Running if report.passed => RolloutEvent::Passed,
+            RolloutStatus::Running => RolloutEvent::Opened,
+            RolloutStatus::Completed => RolloutEvent::RowCompleted,
+            RolloutStatus::RolledBack => RolloutEvent::RowRolledBack,
         };
         self.advance_by(now, event, RolloutReason::Row);
     }
@@ -286,7 +286,7 @@
         now: Moment,
         from: &VmName,
         incarnation: Incarnation,
-        progress: &RolloutMark,
+        progress: &RolloutProgress,
     ) {
         if progress.number != self.order.number {
             return;
@@ -319,7 +319,7 @@
     }
 
     /// Returns whether the exposure limit permits one more request to the new version on trial.
-    fn may_expose(&self, reachability: &FleetSight, is_wide: bool) -> bool {
+    fn may_expose(&self, reachability: &FleetReachability, is_wide: bool) -> bool {
         let knows_beginning = self.learned.since(self.began) < BEGINNING_SPAN;
         let slack = if knows_beginning { self.rule.slack * USED_SLACK_FRACTION } else { 0.0 };
         let slack = (slack / reachability.vms.max(1) as f64).floor();
@@ -334,7 +334,7 @@
     pub fn slice(
         &self,
         now: Moment,
-        reachability: &FleetSight,
+        reachability: &FleetReachability,
         mut targets: Vec<TargetKey>,
     ) -> Vec<TargetKey> {
         let count = targets.len();
@@ -370,7 +370,7 @@
     }
 
     /// Adds the result of a run to the evidence.
-    pub fn record_run(&mut self, now: Moment, side: VersionSide, sample: RunNote) {
+    pub fn record_run(&mut self, now: Moment, side: VersionSide, sample: RunSample) {
         if !self.is_ended() {
             let narrow = side == VersionSide::New
                 && self.state == RolloutState::Trial
@@ -405,7 +405,7 @@
         self.evaluated = now;
         let total = self.evidence.total();
         let recent = self.evidence.recent(now, &total);
-        let verdict = rollout_judge::evaluate(&EvaluationInput {
+        let verdict = rollout_evaluation::evaluate(&EvaluationInput {
             total: &total,
             recent: &recent,
             new_targets: context.new_targets,
@@ -417,7 +417,7 @@
                 self.advance_by(now, RolloutEvent::Failed, RolloutReason::Evidence(reason));
             }
             RolloutVerdict::Good if age >= duration.mul_f64(MIN_TRIAL_FRACTION) => {
-                let reason = RolloutReason::Evidence(JudgeReason::AsGood);
+                let reason = RolloutReason::Evidence(VerdictReason::AsGood);
                 self.advance_by(now, RolloutEvent::Passed, reason);
             }
             RolloutVerdict::Unsure { leans_good }
@@ -460,14 +460,14 @@
         let task = match self.state {
             RolloutState::Asked => RolloutTask::Open,
             RolloutState::Moving if !self.pass_stored => RolloutTask::Remember,
-            RolloutState::Emptied => RolloutTask::End(RolloutWord::Completed),
-            RolloutState::Condemned => RolloutTask::End(RolloutWord::RolledBack),
+            RolloutState::Emptied => RolloutTask::End(RolloutStatus::Completed),
+            RolloutState::Condemned => RolloutTask::End(RolloutStatus::RolledBack),
             RolloutState::Trial if self.must_rewrite_row => RolloutTask::Open,
             RolloutState::Completed if self.must_rewrite_row => {
-                RolloutTask::End(RolloutWord::Completed)
+                RolloutTask::End(RolloutStatus::Completed)
             }
             RolloutState::RolledBack if self.must_rewrite_row => {
-                RolloutTask::End(RolloutWord::RolledBack)
+                RolloutTask::End(RolloutStatus::RolledBack)
             }
             RolloutState::Trial
             | RolloutState::Moving
@@ -478,10 +478,10 @@
     }
 
     /// Returns the progress report for peers.
-    pub fn progress(&self, now: Moment, in_flight_old: u32, with_tallies: bool) -> RolloutMark {
+    pub fn progress(&self, now: Moment, in_flight_old: u32, with_tallies: bool) -> RolloutProgress {
         let age_ms = u32::try_from(now.since(self.began).as_millis()).unwrap_or(u32::MAX);
         let with_tallies = with_tallies && !self.is_ended();
-        RolloutMark {
+        RolloutProgress {
             service: ServiceKey::of(&self.order.service),
             number: self.order.number,
             age_ms,
--- a/crates/ryetide-core/tests/crash_ledger.rs
+++ b/crates/ryetide-core/tests/crash_ledger.rs
@@ -4,15 +4,16 @@
 
 use ryetide_core::{
     crash_ledger::{
-        CrashLedger, CrashedRun, QUARANTINE_LIFE, QuarantineMark, QuarantineNews, RequestStanding,
+        CrashLedger, CrashedRun, QUARANTINE_TTL, QuarantineChange, QuarantineReport,
+        QuarantineStatus,
     },
     ids::TargetKey,
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     units::Moment,
 };
 
-const CRASHING: RequestPrint = RequestPrint(1);
-const INNOCENT: RequestPrint = RequestPrint(2);
+const CRASHING: RequestFingerprint = RequestFingerprint(1);
+const INNOCENT: RequestFingerprint = RequestFingerprint(2);
 const TARGETS: usize = 12;
 const RAN: Duration = Duration::from_millis(80);
 /// Longer than the time that a ledger waits for reports of a crash.
@@ -22,19 +23,22 @@
     Moment::from_millis(millis)
 }
 
-fn runs(prints: &[RequestPrint]) -> Vec<CrashedRun> {
-    prints.iter().map(|print| CrashedRun { print: *print, ran: RAN }).collect()
+fn runs(fingerprints: &[RequestFingerprint]) -> Vec<CrashedRun> {
+    fingerprints
+        .iter()
+        .map(|fingerprint| CrashedRun { fingerprint: *fingerprint, ran: RAN })
+        .collect()
 }
 
 /// Records a crash at each of these milliseconds, each of another target.
-fn crash_at(ledger: &mut CrashLedger, times: &[u64], prints: &[RequestPrint]) {
+fn crash_at(ledger: &mut CrashLedger, times: &[u64], fingerprints: &[RequestFingerprint]) {
     for time in times {
-        ledger.note_crash(at(*time), TargetKey(*time as u32), &runs(prints));
+        ledger.record_crash(at(*time), TargetKey(*time as u32), &runs(fingerprints));
     }
 }
 
-fn is_quarantined(ledger: &mut CrashLedger, now: Moment, print: RequestPrint) -> bool {
-    matches!(ledger.standing(now, print, TARGETS), RequestStanding::Quarantined(_))
+fn is_quarantined(ledger: &mut CrashLedger, now: Moment, fingerprint: RequestFingerprint) -> bool {
+    matches!(ledger.quarantine_status(now, fingerprint, TARGETS), QuarantineStatus::Quarantined(_))
 }
 
 /// Returns a ledger in which the request that crashes targets is quarantined from 1.3 s on.
@@ -49,14 +53,14 @@
 fn a_request_is_quarantined_at_its_third_crash() {
     let mut ledger = CrashLedger::default();
     crash_at(&mut ledger, &[100, 200], &[CRASHING]);
-    assert_eq!(ledger.standing(at(2_000), CRASHING, TARGETS), RequestStanding::Clear);
+    assert_eq!(ledger.quarantine_status(at(2_000), CRASHING, TARGETS), QuarantineStatus::Clear);
     crash_at(&mut ledger, &[2_000], &[CRASHING]);
-    let standing = ledger.standing(at(2_000) + SETTLED, CRASHING, TARGETS);
-    assert_eq!(standing, RequestStanding::Quarantined(QUARANTINE_LIFE));
-    let changes = ledger.take_news();
+    let standing = ledger.quarantine_status(at(2_000) + SETTLED, CRASHING, TARGETS);
+    assert_eq!(standing, QuarantineStatus::Quarantined(QUARANTINE_TTL));
+    let changes = ledger.take_changes();
     assert!(matches!(
         changes[..],
-        [QuarantineNews::Blamed(CRASHING, evidence)] if evidence.crashes == 3
+        [QuarantineChange::Started(CRASHING, evidence)] if evidence.crashes == 3
     ));
 }
 
@@ -67,16 +71,18 @@
     let mut here = CrashLedger::default();
     let target = TargetKey(7);
     for second in 1..=3 {
-        here.note_crash(at(second * 1_000), target, &runs(&[CRASHING]));
+        here.record_crash(at(second * 1_000), target, &runs(&[CRASHING]));
         let mut there = CrashLedger::default();
-        there.note_crash(at(second * 1_000 + 20), target, &runs(&[CRASHING, INNOCENT]));
-        here.take(at(second * 1_000 + 30), &there.brief_news(at(second * 1_000 + 25)));
+        there.record_crash(at(second * 1_000 + 20), target, &runs(&[CRASHING, INNOCENT]));
+        here.take(at(second * 1_000 + 30), &there.own_update(at(second * 1_000 + 25)));
     }
     crash_at(&mut here, &[3_400, 3_500, 3_600], &[CRASHING]);
     let now = at(3_600) + SETTLED;
     assert!(is_quarantined(&mut here, now, CRASHING));
-    let changes = here.take_news();
-    assert!(matches!(changes[..], [QuarantineNews::Blamed(_, evidence)] if evidence.crashes == 6));
+    let changes = here.take_changes();
+    assert!(
+        matches!(changes[..], [QuarantineChange::Started(_, evidence)] if evidence.crashes == 6)
+    );
 }
 
 /// Guards against a quarantine of a request that happened to run at three targets crashed by
@@ -86,8 +92,8 @@
     let mut ledger = CrashLedger::default();
     crash_at(&mut ledger, &[100, 200, 300], &[CRASHING, INNOCENT]);
     let now = at(300) + SETTLED;
-    for print in [CRASHING, INNOCENT] {
-        assert!(!is_quarantined(&mut ledger, now, print), "they cannot be distinguished yet");
+    for fingerprint in [CRASHING, INNOCENT] {
+        assert!(!is_quarantined(&mut ledger, now, fingerprint), "they cannot be distinguished yet");
     }
     crash_at(&mut ledger, &[1_400, 1_500, 1_600], &[CRASHING]);
     let now = at(1_600) + SETTLED;
@@ -101,10 +107,13 @@
 fn no_request_is_quarantined_before_the_reports_of_peers_have_arrived() {
     let mut here = CrashLedger::default();
     crash_at(&mut here, &[100, 200, 300], &[INNOCENT]);
-    assert!(matches!(here.standing(at(310), INNOCENT, TARGETS), RequestStanding::Unsettled(_)));
+    assert!(matches!(
+        here.quarantine_status(at(310), INNOCENT, TARGETS),
+        QuarantineStatus::Undecided(_)
+    ));
     let mut there = CrashLedger::default();
     crash_at(&mut there, &[100, 200, 300, 400, 420, 440], &[CRASHING]);
-    here.take(at(450), &there.brief_news(at(449)));
+    here.take(at(450), &there.own_update(at(449)));
     assert!(!is_quarantined(&mut here, at(450) + SETTLED, INNOCENT));
     assert!(is_quarantined(&mut here, at(450) + SETTLED, CRASHING));
 }
@@ -116,12 +125,12 @@
     let mut ledger = CrashLedger::default();
     for second in 1..=10 {
         let time = second * 1_000;
-        let other = RequestPrint(time);
-        ledger.note_crash(at(time), TargetKey(time as u32), &runs(&[other]));
+        let other = RequestFingerprint(time);
+        ledger.record_crash(at(time), TargetKey(time as u32), &runs(&[other]));
     }
-    let long = CrashedRun { print: INNOCENT, ran: Duration::from_secs(2) };
+    let long = CrashedRun { fingerprint: INNOCENT, ran: Duration::from_secs(2) };
     for time in [2_500, 5_500, 8_500] {
-        ledger.note_crash(at(time), TargetKey(time as u32), &[long]);
+        ledger.record_crash(at(time), TargetKey(time as u32), &[long]);
     }
     assert!(!is_quarantined(&mut ledger, at(10_000) + SETTLED, INNOCENT));
 }
@@ -132,7 +141,7 @@
 fn a_request_that_is_answered_is_not_quarantined() {
     let mut ledger = CrashLedger::default();
     crash_at(&mut ledger, &[100, 200], &[INNOCENT]);
-    ledger.note_answered(at(250), INNOCENT);
+    ledger.record_answered(at(250), INNOCENT);
     crash_at(&mut ledger, &[300, 400], &[INNOCENT]);
     assert!(!is_quarantined(&mut ledger, at(400) + SETTLED, INNOCENT));
 }
@@ -143,11 +152,11 @@
 fn an_answer_ends_a_quarantine_at_every_vm() {
     let mut here = quarantined();
     let mut there = CrashLedger::default();
-    there.take(at(1_400), &here.whole_news(at(1_399)));
+    there.take(at(1_400), &here.full_update(at(1_399)));
     assert!(is_quarantined(&mut there, at(1_500), CRASHING));
-    here.note_answered(at(1_600), CRASHING);
-    let before = there.whole_news(at(1_610));
-    there.take(at(1_620), &here.whole_news(at(1_619)));
+    here.record_answered(at(1_600), CRASHING);
+    let before = there.full_update(at(1_610));
+    there.take(at(1_620), &here.full_update(at(1_619)));
     assert!(!is_quarantined(&mut there, at(1_700), CRASHING));
     here.take(at(1_800), &before);
     assert!(
@@ -163,11 +172,11 @@
     let mut old = CrashLedger::default();
     crash_at(&mut old, &[100, 200], &[CRASHING]);
     let later = at(60_000);
-    assert!(old.whole_news(later).crashes.is_empty(), "old crashes are not always reported");
-    old.retell(later);
+    assert!(old.full_update(later).crashes.is_empty(), "old crashes are not always reported");
+    old.resend_all(later);
     let mut new = CrashLedger::default();
     // The clock of a VM starts with the VM.
-    new.take(at(5), &old.whole_news(later));
+    new.take(at(5), &old.full_update(later));
     crash_at(&mut new, &[150], &[CRASHING]);
     assert!(is_quarantined(&mut new, at(150) + SETTLED, CRASHING));
 }
@@ -175,9 +184,10 @@
 #[test]
 fn a_quarantine_is_reported_for_as_long_as_it_lasts() {
     let mut ledger = quarantined();
-    let now = at(1_300) + QUARANTINE_LIFE / 2;
+    let now = at(1_300) + QUARANTINE_TTL / 2;
     assert!(is_quarantined(&mut ledger, now, CRASHING));
-    for update in [ledger.whole_news(now), ledger.brief_news(now), ledger.changed_news(now, RAN)] {
+    for update in [ledger.full_update(now), ledger.own_update(now), ledger.recent_update(now, RAN)]
+    {
         assert_eq!(update.quarantined.len(), 1);
     }
 }
@@ -189,13 +199,13 @@
     let mut ledger = quarantined();
     let mut now = at(1_300);
     for _ in 0..3 {
-        now = now + QUARANTINE_LIFE / 2;
+        now = now + QUARANTINE_TTL / 2;
         ledger.age(now);
         assert!(is_quarantined(&mut ledger, now, CRASHING));
     }
-    now = now + QUARANTINE_LIFE;
+    now = now + QUARANTINE_TTL;
     ledger.age(now);
-    assert_eq!(ledger.standing(now, CRASHING, TARGETS), RequestStanding::Clear);
+    assert_eq!(ledger.quarantine_status(now, CRASHING, TARGETS), QuarantineStatus::Clear);
     assert_eq!(ledger.quarantine_count(), 0);
 }
 
@@ -206,9 +216,9 @@
     let (mut here, mut there) = (quarantined(), CrashLedger::default());
     let late = Duration::from_millis(50);
     let mut now = at(1_300);
-    while now < at(1_300) + QUARANTINE_LIFE + Duration::from_secs(2) {
-        there.take(now + late, &here.whole_news(now));
-        here.take(now + late, &there.whole_news(now));
+    while now < at(1_300) + QUARANTINE_TTL + Duration::from_secs(2) {
+        there.take(now + late, &here.full_update(now));
+        here.take(now + late, &there.full_update(now));
         now = now + Duration::from_millis(400);
         here.age(now);
         there.age(now);
@@ -224,7 +234,7 @@
     let later = at(100) + Duration::from_secs(1_000);
     ledger.age(later);
     assert!(!ledger.is_suspect(CRASHING));
-    ledger.note_crash(later, TargetKey(9), &runs(&[CRASHING]));
+    ledger.record_crash(later, TargetKey(9), &runs(&[CRASHING]));
     assert!(!is_quarantined(&mut ledger, later + SETTLED, CRASHING));
 }
 
@@ -237,9 +247,10 @@
     for crash in 0..8_u32 {
         now = at(u64::from(crash) * 400);
         let first = 1_000 + u64::from(crash) * 1_000;
-        let mut prints: Vec<RequestPrint> = (first..first + 200).map(RequestPrint).collect();
-        prints.insert(usize::try_from(crash).expect("a small number") * 20, CRASHING);
-        ledger.note_crash(now, TargetKey(crash), &runs(&prints));
+        let mut fingerprints: Vec<RequestFingerprint> =
+            (first..first + 200).map(RequestFingerprint).collect();
+        fingerprints.insert(usize::try_from(crash).expect("a small number") * 20, CRASHING);
+        ledger.record_crash(now, TargetKey(crash), &runs(&fingerprints));
     }
     assert!(is_quarantined(&mut ledger, now + SETTLED, CRASHING));
 }
@@ -249,23 +260,28 @@
 fn records_and_reports_are_bounded() {
     let mut ledger = CrashLedger::default();
     for crash in 0..2_000_u32 {
-        let prints: Vec<RequestPrint> =
-            (0..50).map(|run| RequestPrint(u64::from(crash) * 100 + run)).collect();
-        ledger.note_crash(at(u64::from(crash)), TargetKey(crash), &runs(&prints));
+        let fingerprints: Vec<RequestFingerprint> =
+            (0..50).map(|run| RequestFingerprint(u64::from(crash) * 100 + run)).collect();
+        ledger.record_crash(at(u64::from(crash)), TargetKey(crash), &runs(&fingerprints));
     }
-    for print in 0..500 {
-        let report =
-            QuarantineMark { print: RequestPrint(1_000_000 + print), age_ms: 1, asked_ms: 1 };
-        ledger.take_kept(at(2_000), &report, true);
+    for fingerprint in 0..500 {
+        let report = QuarantineReport {
+            fingerprint: RequestFingerprint(1_000_000 + fingerprint),
+            age_ms: 1,
+            asked_ms: 1,
+        };
+        ledger.take_stored(at(2_000), &report, true);
     }
-    for print in 0..20_000 {
-        ledger.note_answered(at(2_000), RequestPrint(180_000 + print));
+    for fingerprint in 0..20_000 {
+        ledger.record_answered(at(2_000), RequestFingerprint(180_000 + fingerprint));
     }
-    ledger.retell(at(2_000));
-    let update = ledger.whole_news(at(2_000));
+    ledger.resend_all(at(2_000));
+    let update = ledger.full_update(at(2_000));
     assert!(update.crashes.len() <= 512, "{} runs are reported", update.crashes.len());
     assert!(update.cleared.len() <= 512, "{} answers are reported", update.cleared.len());
-    assert!(update.quarantined.len() <= 64 && ledger.kept(at(2_000)).len() <= 64);
-    let suspects = (0..200_000).filter(|print| ledger.is_suspect(RequestPrint(*print))).count();
+    assert!(update.quarantined.len() <= 64 && ledger.stored(at(2_000)).len() <= 64);
+    let suspects = (0..200_000)
+        .filter(|fingerprint| ledger.is_suspect(RequestFingerprint(*fingerprint)))
+        .count();
     assert!(suspects <= 256 * 32, "{suspects} requests are recorded");
 }
--- a/crates/ryetide-core/tests/crash_load/simulation.rs
+++ b/crates/ryetide-core/tests/crash_load/simulation.rs
@@ -4,9 +4,9 @@
 
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 use ryetide_core::{
-    crash_ledger::{CrashLedger, CrashNews, CrashedRun, RequestStanding},
+    crash_ledger::{CrashLedger, CrashUpdate, CrashedRun, QuarantineStatus},
     ids::TargetKey,
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     units::Moment,
 };
 
@@ -59,9 +59,9 @@
 pub struct SimulationOutcome {
     /// For each request that crashes targets, the times of its crashes, and the times of those
     /// attempts that reached targets.
-    crashing: BTreeMap<RequestPrint, (Vec<Moment>, Vec<Moment>)>,
+    crashing: BTreeMap<RequestFingerprint, (Vec<Moment>, Vec<Moment>)>,
     /// Refused requests that crash no target.
-    pub innocent_refused: Vec<RequestPrint>,
+    pub innocent_refused: Vec<RequestFingerprint>,
 }
 
 impl SimulationOutcome {
@@ -70,10 +70,10 @@
     pub fn attempts_later_than(
         &self,
         span: Duration,
-    ) -> impl Iterator<Item = (RequestPrint, usize)> {
-        self.crashing.iter().filter_map(move |(print, (crashes, attempts))| {
+    ) -> impl Iterator<Item = (RequestFingerprint, usize)> {
+        self.crashing.iter().filter_map(move |(fingerprint, (crashes, attempts))| {
             let third = *crashes.get(2)?;
-            Some((*print, attempts.iter().filter(|at| **at > third + span).count()))
+            Some((*fingerprint, attempts.iter().filter(|at| **at > third + span).count()))
         })
     }
 }
@@ -81,7 +81,7 @@
 /// One request of a caller.
 #[derive(Clone, Debug)]
 struct Call {
-    print: RequestPrint,
+    fingerprint: RequestFingerprint,
     /// Whether it crashes targets.
     crashing: bool,
     vm: usize,
@@ -112,7 +112,7 @@
     at: Moment,
     from: usize,
     to: usize,
-    update: CrashNews,
+    update: CrashUpdate,
 }
 
 struct Vm {
@@ -213,8 +213,8 @@
             // One caller in ten retries more often than it is asked to.
             let retries_left = if self.rng.random_bool(0.1) { 4 } else { 1 };
             self.next_print += 1;
-            let print = RequestPrint(self.next_print);
-            self.call(print, false, Duration::from_millis(millis), retries_left);
+            let fingerprint = RequestFingerprint(self.next_print);
+            self.call(fingerprint, false, Duration::from_millis(millis), retries_left);
         }
     }
 
@@ -227,18 +227,29 @@
             let from = Moment::from_millis(3_000) + CRASHING_STRIDE * wave;
             if from <= self.now && self.now < from + CRASHING_SPAN {
                 let millis = self.rng.random_range(20..160);
-                self.call(RequestPrint(number as u64), true, Duration::from_millis(millis), 0);
+                self.call(
+                    RequestFingerprint(number as u64),
+                    true,
+                    Duration::from_millis(millis),
+                    0,
+                );
             }
         }
     }
 
-    fn call(&mut self, print: RequestPrint, crashing: bool, span: Duration, retries_left: u32) {
+    fn call(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        crashing: bool,
+        span: Duration,
+        retries_left: u32,
+    ) {
         let vm = self.rng.random_range(0..VMS);
         let (made, wake) = (self.now, self.now);
         let runs_left = RUNS_PER_ATTEMPT;
         let reached = false;
         self.calls.push(Call {
-            print,
+            fingerprint,
             crashing,
             vm,
             made,
@@ -259,14 +270,16 @@
             }
             let up = self.targets.iter().filter(|target| target.up_at <= self.now).count();
             let ledger = &mut self.vms[call.vm].ledger;
-            match ledger.standing(self.now, call.print, up) {
-                RequestStanding::Clear => self.send(call),
-                RequestStanding::Unsettled(until) => {
+            match ledger.quarantine_status(self.now, call.fingerprint, up) {
+                QuarantineStatus::Clear => self.send(call),
+                QuarantineStatus::Undecided(until) => {
                     call.wake = until;
                     self.calls.push(call);
                 }
-                RequestStanding::Quarantined(_) if call.crashing => {}
-                RequestStanding::Quarantined(_) => self.outcome.innocent_refused.push(call.print),
+                QuarantineStatus::Quarantined(_) if call.crashing => {}
+                QuarantineStatus::Quarantined(_) => {
+                    self.outcome.innocent_refused.push(call.fingerprint)
+                }
             }
         }
     }
@@ -282,7 +295,7 @@
             return;
         }
         if call.crashing && !std::mem::replace(&mut call.reached, true) {
-            self.outcome.crashing.entry(call.print).or_default().1.push(call.made);
+            self.outcome.crashing.entry(call.fingerprint).or_default().1.push(call.made);
         }
         call.runs_left -= 1;
         let drawn = self.rng.random_range(0..free.len());
@@ -296,12 +309,12 @@
             let ended = target.runs.extract_if(.., |run| run.until <= self.now);
             for run in ended.collect::<Vec<Run>>() {
                 if run.call.crashing {
-                    let at = &mut self.outcome.crashing.entry(run.call.print).or_default().0;
+                    let at = &mut self.outcome.crashing.entry(run.call.fingerprint).or_default().0;
                     at.push(self.now);
                     crashed.push(index);
                     target.runs.push(run);
                 } else {
-                    self.vms[run.call.vm].ledger.note_answered(self.now, run.call.print);
+                    self.vms[run.call.vm].ledger.record_answered(self.now, run.call.fingerprint);
                 }
             }
         }
@@ -331,8 +344,8 @@
         let crashed = std::mem::replace(&mut target.key, key);
         target.up_at = self.now + DOWN_SPAN;
         for Run { mut call, since, .. } in std::mem::take(&mut target.runs) {
-            let run = CrashedRun { print: call.print, ran: self.now.since(since) };
-            self.vms[call.vm].ledger.note_crash(self.now, crashed, &[run]);
+            let run = CrashedRun { fingerprint: call.fingerprint, ran: self.now.since(since) };
+            self.vms[call.vm].ledger.record_crash(self.now, crashed, &[run]);
             if call.runs_left == 0 {
                 if call.retries_left == 0 {
                     continue;
@@ -377,9 +390,9 @@
             vm.changes_sent = self.now;
             let update = if is_full {
                 vm.full_sent = self.now;
-                vm.ledger.whole_news(self.now)
+                vm.ledger.full_update(self.now)
             } else {
-                vm.ledger.changed_news(self.now, CHANGES_INTERVAL * 3)
+                vm.ledger.recent_update(self.now, CHANGES_INTERVAL * 3)
             };
             for to in (0..VMS).filter(|to| *to != from) {
                 if !self.rng.random_bool(LOSS) {
@@ -396,7 +409,7 @@
             let vm = &mut self.vms[message.to];
             let previous = vm.received[message.from].replace(now);
             if previous.is_none_or(|at| now.since(at) >= PEER_TIMEOUT) {
-                vm.ledger.retell(now);
+                vm.ledger.resend_all(now);
             }
             vm.ledger.take(now, &message.update);
         }
--- a/crates/ryetide-core/tests/rollout/faults.rs
+++ b/crates/ryetide-core/tests/rollout/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ryetide_core::{chart::RolloutState, rollout_order::RolloutWord};
+use ryetide_core::{chart::RolloutState, rollout_order::RolloutStatus};
 
 use crate::{
     behaviour::{Behaviour, NewVersion},
@@ -93,11 +93,11 @@
     end(&mut fleet, fault);
     fleet.run_until(DURATION + Duration::from_secs(6));
     assert!(fleet.is_ended(), "{name}: {:?}", fleet.statuses);
-    let ends = fleet.statuses.iter().filter(|status| **status != RolloutWord::Running).count();
+    let ends = fleet.statuses.iter().filter(|status| **status != RolloutStatus::Running).count();
     assert_eq!(ends, 1, "{name}: more than one result was written: {:?}", fleet.statuses);
     for vm in 0..fleet.vm_count() {
         let expected = match fleet.status() {
-            Some(RolloutWord::Completed) => RolloutState::Completed,
+            Some(RolloutStatus::Completed) => RolloutState::Completed,
             _ => RolloutState::RolledBack,
         };
         let is_gone = matches!(fault, Fault::OneGone) && vm == 0;
@@ -119,7 +119,7 @@
     for step in steps {
         for fault in FAULTS {
             let fleet = run(NewVersion::Good, step, fault);
-            assert_eq!(fleet.status(), Some(RolloutWord::Completed), "{fault:?} at {step:?}");
+            assert_eq!(fleet.status(), Some(RolloutStatus::Completed), "{fault:?} at {step:?}");
         }
     }
 }
@@ -135,7 +135,7 @@
     for step in steps {
         for fault in FAULTS {
             let fleet = run(NewVersion::Fails(0.5), step, fault);
-            assert_eq!(fleet.status(), Some(RolloutWord::RolledBack), "{fault:?} at {step:?}");
+            assert_eq!(fleet.status(), Some(RolloutStatus::RolledBack), "{fault:?} at {step:?}");
             assert!(
                 fleet.exposed_after_fiftieth < Duration::from_secs(5),
                 "{fault:?} at {step:?}: sent {:?} after the 50th bad answer",
@@ -162,7 +162,7 @@
         };
         let mut fleet = Fleet::start(plan);
         fleet.run_until(DURATION);
-        assert_eq!(fleet.status(), Some(RolloutWord::Completed), "seed {seed}");
+        assert_eq!(fleet.status(), Some(RolloutStatus::Completed), "seed {seed}");
         assert_eq!(fleet.left_at_end, 0, "seed {seed}");
     }
 }
@@ -183,7 +183,7 @@
     fleet.run_until(Duration::from_millis(1_500));
     fleet.set_frozen(0, true);
     fleet.run_until(Duration::from_secs(9));
-    assert_eq!(fleet.status(), Some(RolloutWord::RolledBack));
+    assert_eq!(fleet.status(), Some(RolloutStatus::RolledBack));
     let before = fleet.exposed;
     fleet.set_frozen(0, false);
     fleet.run_until(Duration::from_secs(20));
--- a/crates/ryetide-core/tests/rollout/fleet.rs
+++ b/crates/ryetide-core/tests/rollout/fleet.rs
@@ -6,12 +6,12 @@
 use ryetide_core::{
     chart::RolloutState,
     ids::{Incarnation, RouteKey, ServiceName, TargetKey, VmName},
-    rollout_desk::{RolloutDesk, TargetUse},
-    rollout_evidence::{RunNote, VersionSide},
+    rollout_evidence::{RunSample, VersionSide},
+    rollout_manager::{RolloutManager, TargetUse},
     rollout_order::{
-        OrderNumber, RolloutOrder, RolloutReport, RolloutRule, RolloutTask, RolloutWord,
+        OrderNumber, RolloutOrder, RolloutReport, RolloutRule, RolloutStatus, RolloutTask,
     },
-    service_rollout::{FleetSight, RolloutMark},
+    service_rollout::{FleetReachability, RolloutProgress},
     target_load::TargetEntry,
     units::Moment,
 };
@@ -66,7 +66,7 @@
 struct ModelVm {
     name: VmName,
     incarnation: u64,
-    manager: RolloutDesk,
+    manager: RolloutManager,
     alive: bool,
     /// Whether no messages pass between it and its peers.
     partitioned: bool,
@@ -83,14 +83,14 @@
     vm: usize,
     incarnation: u64,
     entry: TargetEntry,
-    sample: RunNote,
+    sample: RunSample,
 }
 
 struct Message {
     at: Moment,
     from: usize,
     incarnation: u64,
-    progress: Vec<RolloutMark>,
+    progress: Vec<RolloutProgress>,
 }
 
 /// The modelled fleet.
@@ -103,7 +103,7 @@
     vms: Vec<ModelVm>,
     pub store_down: bool,
     /// Every status that was written to the operators' row, in order.
-    pub statuses: Vec<RolloutWord>,
+    pub statuses: Vec<RolloutStatus>,
     /// When the order was first seen, according to the store.
     first_seen: Option<Moment>,
     /// Whether the store holds that the version passed its trial.
@@ -173,7 +173,7 @@
 
     fn new_vm(&mut self, index: usize, incarnation: u64) -> ModelVm {
         let name: VmName = format!("e{index}").as_str().into();
-        let mut manager = RolloutDesk::new(name.clone(), rule());
+        let mut manager = RolloutManager::new(name.clone(), rule());
         manager.take_order(self.now, self.order.clone());
         manager.take_targets(self.now, &self.entries());
         ModelVm {
@@ -226,12 +226,12 @@
     }
 
     /// Returns the status in the operators' row, if it was written.
-    pub fn status(&self) -> Option<RolloutWord> {
+    pub fn status(&self) -> Option<RolloutStatus> {
         self.statuses.last().copied()
     }
 
     pub fn is_ended(&self) -> bool {
-        self.status().is_some_and(|status| status != RolloutWord::Running)
+        self.status().is_some_and(|status| status != RolloutStatus::Running)
     }
 
     /// Runs the fleet until `end` after the order.
@@ -253,11 +253,11 @@
         }
     }
 
-    fn reachability(&self, vm: usize) -> FleetSight {
+    fn reachability(&self, vm: usize) -> FleetReachability {
         let times = self.vms[vm].received.values();
         let reachable = times.filter(|at| self.now.since(**at) < PEER_TIMEOUT);
         let vms = self.vms.len();
-        FleetSight { reachable_share: (reachable.count() + 1) as f64 / vms as f64, vms }
+        FleetReachability { reachable_share: (reachable.count() + 1) as f64 / vms as f64, vms }
     }
 
     fn serve(&mut self, vm: usize) {
@@ -320,12 +320,12 @@
             }
         }
         let vm_state = &mut self.vms[vm];
-        vm_state.manager.note_placed(self.now, &target);
+        vm_state.manager.record_placed(self.now, &target);
         if side == VersionSide::Old {
             vm_state.at_old.push(end);
         }
         let route = RouteKey(route as u32);
-        let sample = RunNote { target: target.key(), route, sent: self.now, pace };
+        let sample = RunSample { target: target.key(), route, sent: self.now, pace };
         let incarnation = vm_state.incarnation;
         self.answers.push(Answer { at: end, vm, incarnation, entry: target, sample });
     }
@@ -350,7 +350,7 @@
         for Answer { vm, incarnation, entry, sample, .. } in due {
             let state = &mut self.vms[vm];
             if state.alive && state.incarnation == incarnation {
-                state.manager.note_run(now, &entry, sample);
+                state.manager.record_run(now, &entry, sample);
             }
         }
     }
@@ -370,7 +370,7 @@
                     continue;
                 }
                 state.received.insert(from, now);
-                state.manager.take_marks(now, &sender, Incarnation(incarnation), &progress);
+                state.manager.take_progress(now, &sender, Incarnation(incarnation), &progress);
             }
         }
     }
@@ -385,7 +385,7 @@
         self.steps.extend(changes.iter().map(|change| (change.from, change.to)));
         if !changes.is_empty() || now.since(state.last_sent) >= REPORT_INTERVAL {
             state.last_sent = now;
-            let progress = state.manager.marks(now, true, |_| in_flight);
+            let progress = state.manager.progress(now, true, |_| in_flight);
             let incarnation = state.incarnation;
             self.messages.push(Message {
                 at: now + MESSAGE_DELAY,
@@ -407,15 +407,15 @@
         for duty in self.vms[vm].manager.duties(self.now, &others) {
             let age = self.first_seen.map(|at| self.now.since(at));
             let status = match (duty.task, self.status()) {
-                (_, Some(written)) if written != RolloutWord::Running => written,
+                (_, Some(written)) if written != RolloutStatus::Running => written,
                 (RolloutTask::Open, Some(written)) => written,
                 (RolloutTask::Open, None) => {
                     self.first_seen = Some(self.now);
-                    self.write(RolloutWord::Running)
+                    self.write(RolloutStatus::Running)
                 }
                 (RolloutTask::Remember, _) => {
                     self.passed = true;
-                    RolloutWord::Running
+                    RolloutStatus::Running
                 }
                 (RolloutTask::End(result), _) => self.write(result),
             };
@@ -423,7 +423,7 @@
             let report = RolloutReport {
                 service: service(),
                 number: duty.order.number,
-                word: status,
+                status,
                 age,
                 passed,
             };
@@ -431,9 +431,9 @@
         }
     }
 
-    fn write(&mut self, status: RolloutWord) -> RolloutWord {
+    fn write(&mut self, status: RolloutStatus) -> RolloutStatus {
         self.statuses.push(status);
-        if status == RolloutWord::Completed {
+        if status == RolloutStatus::Completed {
             let now = self.now;
             let at_old = self.vms.iter().filter(|vm| vm.alive).flat_map(|vm| &vm.at_old);
             self.left_at_end = at_old.filter(|end| **end > now).count();
--- a/crates/ryetide-core/tests/rollout/judging.rs
+++ b/crates/ryetide-core/tests/rollout/judging.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ryetide_core::rollout_order::RolloutWord;
+use ryetide_core::rollout_order::RolloutStatus;
 
 use crate::{
     behaviour::{Behaviour, NewVersion},
@@ -30,9 +30,9 @@
         let mut fleet = Fleet::start(plan(behaviour, seed));
         fleet.run_until(Duration::from_secs(14));
         match fleet.status() {
-            Some(RolloutWord::Completed) => outcomes.completed += 1,
-            Some(RolloutWord::RolledBack) => outcomes.rolled_back += 1,
-            Some(RolloutWord::Running) | None => outcomes.undecided += 1,
+            Some(RolloutStatus::Completed) => outcomes.completed += 1,
+            Some(RolloutStatus::RolledBack) => outcomes.rolled_back += 1,
+            Some(RolloutStatus::Running) | None => outcomes.undecided += 1,
         }
         outcomes.overexposed += u32::from(fleet.exposed > fleet.placed / 10 + 50);
     }
--- a/crates/ryetide-core/tests/rollout/placement.rs
+++ b/crates/ryetide-core/tests/rollout/placement.rs
@@ -7,7 +7,7 @@
     ids::{Incarnation, RequestSequence},
     pace::AssumedPace,
     rollout_evidence::VersionSide,
-    rollout_order::{OrderNumber, RolloutOrder, RolloutReport, RolloutWord},
+    rollout_order::{OrderNumber, RolloutOrder, RolloutReport, RolloutStatus},
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
     target_load::TargetEntry,
@@ -67,9 +67,9 @@
     scheduler
 }
 
-fn report(scheduler: &mut Scheduler, now: Moment, status: RolloutWord, passed: bool) {
+fn report(scheduler: &mut Scheduler, now: Moment, status: RolloutStatus, passed: bool) {
     let (service, number) = (fleet::service(), OrderNumber(1));
-    let report = RolloutReport { service, number, word: status, age: None, passed };
+    let report = RolloutReport { service, number, status, age: None, passed };
     scheduler.with_rollouts(now, |manager, now| manager.take_report(now, &report));
 }
 
@@ -103,7 +103,7 @@
 #[test]
 fn a_version_on_trial_gets_its_share() {
     let mut scheduler = ordered_scheduler();
-    report(&mut scheduler, at(0), RolloutWord::Running, false);
+    report(&mut scheduler, at(0), RolloutStatus::Running, false);
     let (old, new) = serve(&mut scheduler, 1, 1_000, false);
     let permitted = (old + new) / 10 + 25;
     assert!((60..=permitted).contains(&new), "{new} of {}", old + new);
@@ -113,24 +113,24 @@
 #[test]
 fn a_retried_request_does_not_go_to_a_version_on_trial() {
     let mut scheduler = ordered_scheduler();
-    report(&mut scheduler, at(0), RolloutWord::Running, false);
+    report(&mut scheduler, at(0), RolloutStatus::Running, false);
     assert_eq!(serve(&mut scheduler, 1, 500, true).1, 0);
 }
 
 #[test]
 fn a_version_that_passed_its_trial_gets_all_new_requests() {
     let mut scheduler = ordered_scheduler();
-    report(&mut scheduler, at(0), RolloutWord::Running, true);
+    report(&mut scheduler, at(0), RolloutStatus::Running, true);
     assert_eq!(serve(&mut scheduler, 1, 200, false), (0, 200));
-    report(&mut scheduler, at(2_000), RolloutWord::Completed, true);
+    report(&mut scheduler, at(2_000), RolloutStatus::Completed, true);
     assert_eq!(serve(&mut scheduler, 300, 200, false), (0, 200));
 }
 
 #[test]
 fn a_version_that_was_rolled_back_gets_nothing() {
     let mut scheduler = ordered_scheduler();
-    report(&mut scheduler, at(0), RolloutWord::Running, false);
+    report(&mut scheduler, at(0), RolloutStatus::Running, false);
     serve(&mut scheduler, 1, 200, false);
-    report(&mut scheduler, at(2_000), RolloutWord::RolledBack, false);
+    report(&mut scheduler, at(2_000), RolloutStatus::RolledBack, false);
     assert_eq!(serve(&mut scheduler, 300, 200, false), (200, 0));
 }
--- a/crates/ryetide-core/tests/rollout/versions.rs
+++ b/crates/ryetide-core/tests/rollout/versions.rs
@@ -6,19 +6,19 @@
     chart::RolloutState,
     era_version::EraVersion,
     ids::{Incarnation, ServiceKey},
-    rollout_desk::{RolloutDesk, TargetUse},
     rollout_evidence::VersionSide,
+    rollout_manager::{RolloutManager, TargetUse},
     rollout_order::{
-        OrderNumber, RolloutOrder, RolloutReport, RolloutRule, RolloutTask, RolloutWord,
+        OrderNumber, RolloutOrder, RolloutReport, RolloutRule, RolloutStatus, RolloutTask,
     },
-    service_rollout::{FleetSight, RolloutMark},
+    service_rollout::{FleetReachability, RolloutProgress},
     target_load::TargetEntry,
     units::Moment,
 };
 
 use crate::fleet;
 
-const ALL_REACHABLE: FleetSight = FleetSight { reachable_share: 1.0, vms: 1 };
+const ALL_REACHABLE: FleetReachability = FleetReachability { reachable_share: 1.0, vms: 1 };
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
@@ -38,21 +38,21 @@
     RolloutOrder { service, to: to.into(), duration: Duration::from_secs(20), number }
 }
 
-fn report(number: u64, status: RolloutWord) -> RolloutReport {
+fn report(number: u64, status: RolloutStatus) -> RolloutReport {
     RolloutReport {
         service: fleet::service(),
         number: OrderNumber(number),
-        word: status,
+        status,
         age: None,
         passed: false,
     }
 }
 
-fn manager(rule: RolloutRule) -> RolloutDesk {
-    RolloutDesk::new("e1".into(), rule)
+fn manager(rule: RolloutRule) -> RolloutManager {
+    RolloutManager::new("e1".into(), rule)
 }
 
-fn state(manager: &RolloutDesk) -> RolloutState {
+fn state(manager: &RolloutManager) -> RolloutState {
     manager.rollouts().next().expect("there is an order").state()
 }
 
@@ -66,7 +66,7 @@
     assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Closed);
     manager.take_order(at(3), order("v2", 1));
     assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Closed);
-    manager.take_report(at(4), &report(1, RolloutWord::Running));
+    manager.take_report(at(4), &report(1, RolloutStatus::Running));
     assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Trial);
     assert_eq!(manager.target_use(&of_version("v1", 0)), TargetUse::Serving);
 }
@@ -105,7 +105,7 @@
     let mut manager = manager(fleet::rule());
     manager.take_order(at(1), order("v2", 1));
     manager.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
-    manager.take_report(at(3), &report(1, RolloutWord::Completed));
+    manager.take_report(at(3), &report(1, RolloutStatus::Completed));
     assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Serving);
     assert_eq!(manager.target_use(&of_version("v1", 0)), TargetUse::Closed);
 }
@@ -115,7 +115,7 @@
     let mut manager = manager(fleet::rule());
     manager.take_order(at(1), order("v2", 1));
     manager.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
-    manager.take_report(at(3), &report(1, RolloutWord::RolledBack));
+    manager.take_report(at(3), &report(1, RolloutStatus::RolledBack));
     assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Closed);
     assert_eq!(manager.target_use(&of_version("v1", 0)), TargetUse::Serving);
 }
@@ -129,11 +129,11 @@
     manager.take_targets(at(1), &all[..1]);
     manager.take_order(at(2), order("v2", 5));
     manager.take_targets(at(3), &all[..2]);
-    manager.take_report(at(4), &report(5, RolloutWord::Running));
+    manager.take_report(at(4), &report(5, RolloutStatus::Running));
     manager.take_order(at(5), order("v3", 9));
     manager.take_targets(at(6), &all);
-    manager.take_report(at(7), &report(5, RolloutWord::Completed));
-    manager.take_report(at(8), &report(9, RolloutWord::Running));
+    manager.take_report(at(7), &report(5, RolloutStatus::Completed));
+    manager.take_report(at(8), &report(9, RolloutStatus::Running));
     manager.take_order(at(9), order("v2", 5));
     let uses: Vec<TargetUse> = all.iter().map(|entry| manager.target_use(entry)).collect();
     assert_eq!(uses, [TargetUse::Serving, TargetUse::Closed, TargetUse::Trial]);
@@ -146,7 +146,7 @@
     let mut manager = manager(fleet::rule());
     manager.take_targets(at(1), &[of_version("v1", 0)]);
     manager.take_order(at(2), order("v2", 1));
-    manager.take_report(at(3), &report(1, RolloutWord::Running));
+    manager.take_report(at(3), &report(1, RolloutStatus::Running));
     for tenth in 0..160 {
         manager.advance(at(100 * tenth), &ALL_REACHABLE, |_| 0);
     }
@@ -169,7 +169,7 @@
     let mut manager = manager(fleet::rule());
     manager.take_order(at(1), order("v2", 1));
     manager.take_targets(at(2), &[of_version("v1", 0), of_version("v2", 0)]);
-    let progress = RolloutMark {
+    let progress = RolloutProgress {
         service: ServiceKey::of(&fleet::service()),
         number: OrderNumber(1),
         age_ms: 4_000,
@@ -178,7 +178,7 @@
         pass_stored: false,
         tallies: None,
     };
-    manager.take_marks(at(3), &"e2".into(), Incarnation(1), &[progress]);
+    manager.take_progress(at(3), &"e2".into(), Incarnation(1), &[progress]);
     assert_eq!(state(&manager), RolloutState::Completed);
     assert_eq!(manager.target_use(&of_version("v2", 0)), TargetUse::Serving);
 }
@@ -189,11 +189,11 @@
 }
 
 /// Returns a manager with a completed order of the first era.
-fn with_completed() -> RolloutDesk {
+fn with_completed() -> RolloutManager {
     let mut manager = manager(fleet::rule());
     manager.take_targets(at(1), &[of_version("v1", 0), of_version("v2", 0)]);
     manager.take_order(at(2), order("v2", in_era(1, 60)));
-    manager.take_report(at(3), &report(in_era(1, 60), RolloutWord::Completed));
+    manager.take_report(at(3), &report(in_era(1, 60), RolloutStatus::Completed));
     assert_eq!(state(&manager), RolloutState::Completed);
     manager
 }
@@ -210,8 +210,8 @@
         assert_eq!(state(&manager), RolloutState::Completed);
         let tasks: Vec<RolloutTask> =
             manager.duties(at(12), &[]).into_iter().map(|duty| duty.task).collect();
-        assert_eq!(tasks, [RolloutTask::End(RolloutWord::Completed)]);
-        manager.take_report(at(13), &report(number, RolloutWord::Completed));
+        assert_eq!(tasks, [RolloutTask::End(RolloutStatus::Completed)]);
+        manager.take_report(at(13), &report(number, RolloutStatus::Completed));
         assert!(manager.duties(at(14), &[]).is_empty(), "the status is written once");
     }
 }
@@ -222,10 +222,10 @@
 fn a_restored_table_without_the_latest_order_does_not_revive_an_earlier_one() {
     let mut manager = with_completed();
     manager.take_order(at(20), order("v1", in_era(1, 80)));
-    manager.take_report(at(21), &report(in_era(1, 80), RolloutWord::Running));
+    manager.take_report(at(21), &report(in_era(1, 80), RolloutStatus::Running));
     assert_eq!(state(&manager), RolloutState::Trial);
     manager.take_order(at(30), order("v2", in_era(2, 60)));
-    let to = |manager: &RolloutDesk| {
+    let to = |manager: &RolloutManager| {
         manager.rollouts().next().expect("there is an order").order().to.clone()
     };
     assert_eq!((to(&manager).as_str(), state(&manager)), ("v1", RolloutState::Trial));
--- a/crates/ryetide-gateway/src/crash_watch.rs
+++ b/crates/ryetide-gateway/src/crash_watch.rs
@@ -7,7 +7,8 @@
 use std::{cell::RefCell, collections::HashMap, io, rc::Rc, time::Duration};
 
 use ryetide_core::{
-    crash_ledger::CrashedRun, ids::TargetKey, request_print::RequestPrint, target_load::TargetEntry,
+    crash_ledger::CrashedRun, ids::TargetKey, request_fingerprint::RequestFingerprint,
+    target_load::TargetEntry,
 };
 use tokio::task;
 
@@ -22,7 +23,7 @@
     /// The id that its caller gave the request.
     pub request: String,
     /// What ran.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// For how long it had been at the target.
     pub ran: Duration,
 }
@@ -58,9 +59,12 @@
         Err(ConnectFault::Open(error)) if error.kind() == refused => {
             gateway.log().crashed(&target, &runs);
             gateway.metrics().count_crash();
-            let crashed = runs.iter().map(|run| CrashedRun { print: run.print, ran: run.ran });
+            let crashed =
+                runs.iter().map(|run| CrashedRun { fingerprint: run.fingerprint, ran: run.ran });
             let crashed: Vec<CrashedRun> = crashed.collect();
-            gateway.hub().with(|scheduler, now| scheduler.note_crash(now, target.key(), &crashed));
+            gateway
+                .hub()
+                .with(|scheduler, now| scheduler.record_crash(now, target.key(), &crashed));
         }
         // It lives, or nobody can say.
         Ok(_) | Err(_) => {
--- a/crates/ryetide-gateway/src/decision_log.rs
+++ b/crates/ryetide-gateway/src/decision_log.rs
@@ -10,7 +10,7 @@
 use ryetide_core::{
     decision::{PlacingEvidence, RunEnd},
     ids::{OrganisationName, RequestSequence, VmName},
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     target_load::TargetEntry,
     target_word::TargetWord,
     units::{RequestRate, Revision},
@@ -38,7 +38,7 @@
     /// Its number at this VM.
     pub sequence: RequestSequence,
     /// By what it is known again when it comes under another id.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// Its route.
     pub route: &'a str,
     /// For how long its caller had waited before it asked this time.
@@ -98,7 +98,7 @@
             vm = %self.vm,
             request = request.id,
             sequence = request.sequence.0,
-            print = %request.print,
+            print = %request.fingerprint,
             route = request.route,
             target = %target.name,
             life = %target.life,
@@ -199,7 +199,7 @@
                 vm = %self.vm,
                 request = request.id,
                 sequence = request.sequence.0,
-                print = %request.print,
+                print = %request.fingerprint,
                 target = %target.name,
                 reason = why,
                 attempts,
@@ -243,7 +243,7 @@
                     event = "target-crashed",
                     vm = %self.vm,
                     request = run.request,
-                    print = %run.print,
+                    print = %run.fingerprint,
                     target = %target.name,
                     peer = %target.address,
                     ran_ms = millis(run.ran),
@@ -261,7 +261,7 @@
                 vm = %self.vm,
                 request = request.id,
                 sequence = request.sequence.0,
-                print = %request.print,
+                print = %request.fingerprint,
                 route = request.route,
                 retry_ms = millis(life),
             );
--- a/crates/ryetide-gateway/src/exchange.rs
+++ b/crates/ryetide-gateway/src/exchange.rs
@@ -15,8 +15,8 @@
     decision::{Decision, PlacingEvidence, RunEnd},
     ids::{RouteKey, ServiceName, TargetKey},
     quota::QuotaCharge,
-    request_print::RequestPrint,
-    rollout_evidence::RunNote,
+    request_fingerprint::RequestFingerprint,
+    rollout_evidence::RunSample,
     route::{MatchedRoute, WorkKind},
     target_load::TargetEntry,
     units::{Moment, Tokens},
@@ -82,7 +82,7 @@
     template: CallTemplate,
     size: WorkSize,
     id: Option<HeaderValue>,
-    print: RequestPrint,
+    fingerprint: RequestFingerprint,
     arrived: Moment,
     /// For how long its caller had waited before, when it has come back.
     waited: Duration,
@@ -129,7 +129,7 @@
         let names = gateway.names();
         let size = gateway.read_size(&head.headers);
         let holder = matched.holder.as_ref().map(|holder| &holder.name);
-        let print = standing_wait::print_of(&head, &body, holder);
+        let fingerprint = standing_wait::fingerprint_of(&head, &body, holder);
         let template = CallTemplate::new(&head, body, names, holder).map_err(|error| {
             tracing::debug!(event = "request-unwritable", step = "read head", reason = %error);
             OwnAnswer::new(OwnReason::BadRequest)
@@ -152,7 +152,7 @@
             template,
             size,
             id,
-            print,
+            fingerprint,
             arrived,
             waited,
             deadline_at: arrived + deadline,
@@ -178,8 +178,9 @@
     ///
     /// Returns what to answer when it does, and must be sent to none.
     pub async fn await_standing(&self) -> Result<(), OwnAnswer> {
-        let (print, until) = (self.print, self.timeout_at());
-        match standing_wait::await_standing(&self.gateway, print, &self.service, until).await {
+        let (fingerprint, until) = (self.fingerprint, self.timeout_at());
+        match standing_wait::await_standing(&self.gateway, fingerprint, &self.service, until).await
+        {
             StandingVerdict::MaySend => Ok(()),
             StandingVerdict::TimedOut => Err(OwnAnswer::new(OwnReason::TimedOut)),
             StandingVerdict::Quarantined(life) => {
@@ -432,14 +433,15 @@
         self.gateway.log().target_failed(&log_id, target, fault.name(), self.attempts);
         if fault == RunFault::Failed {
             // A failure that is the target's own answer shows as well that it has not crashed.
-            self.note_answered();
+            self.record_answered();
         }
         if fault.tells_of_version() {
-            self.note_run(target, None);
+            self.record_run(target, None);
         }
         if fault.may_be_end() {
             let ran = self.gateway.hub().clock().now().since(self.sent_at);
-            let run = BrokenRun { request: log_id.id.to_owned(), print: self.print, ran };
+            let run =
+                BrokenRun { request: log_id.id.to_owned(), fingerprint: self.fingerprint, ran };
             CrashWatch::note(&self.gateway, target, run);
         }
         self.excluded.push(target.key());
@@ -459,11 +461,11 @@
         self.ticket.end(end);
         let now = self.gateway.hub().clock().now();
         if end == RunEnd::Whole {
-            self.note_answered();
+            self.record_answered();
             if let Some(target) = self.target.as_ref().filter(|_| self.attempts <= 1) {
                 // Long answers take longer than short ones, whatever the version.
                 let pace = now.since(self.sent_at) / self.pieces.saturating_add(1);
-                self.note_run(target, Some(pace));
+                self.record_run(target, Some(pace));
             }
             self.gateway.metrics().count_outcome("answered");
             let total = now.since(self.arrived);
@@ -493,16 +495,16 @@
     }
 
     /// Notes what an answer shows of its target's version.
-    fn note_run(&self, target: &TargetEntry, pace: Option<Duration>) {
+    fn record_run(&self, target: &TargetEntry, pace: Option<Duration>) {
         let route = RouteKey::of(&self.matched.route.name);
-        let note = RunNote { target: target.key(), route, sent: self.sent_at, pace };
+        let note = RunSample { target: target.key(), route, sent: self.sent_at, pace };
         let now = self.gateway.hub().clock().now();
-        self.gateway.hub().peek_mut(|scheduler| scheduler.note_run(now, note));
+        self.gateway.hub().peek_mut(|scheduler| scheduler.record_run(now, note));
     }
 
-    fn note_answered(&self) {
-        let (now, print) = (self.gateway.hub().clock().now(), self.print);
-        self.gateway.hub().peek_mut(|it| it.crashes_mut().note_answered(now, print));
+    fn record_answered(&self) {
+        let (now, fingerprint) = (self.gateway.hub().clock().now(), self.fingerprint);
+        self.gateway.hub().peek_mut(|it| it.crashes_mut().record_answered(now, fingerprint));
     }
 
     fn note_placed(&mut self, target: &TargetEntry, evidence: PlacingEvidence) {
@@ -558,7 +560,7 @@
             // An id that is no text is passed on as it is, and cannot be printed.
             id: self.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default(),
             sequence: self.ticket.number(),
-            print: self.print,
+            fingerprint: self.fingerprint,
             route: &self.matched.route.name,
             waited_before: self.waited,
         }
--- a/crates/ryetide-gateway/src/file_feed.rs
+++ b/crates/ryetide-gateway/src/file_feed.rs
@@ -4,7 +4,7 @@
 
 use ryetide::error::StepError;
 use ryetide_core::{
-    rollout_order::{RolloutDuty, RolloutReport, RolloutTask, RolloutWord},
+    rollout_order::{RolloutDuty, RolloutReport, RolloutStatus, RolloutTask},
     route_text::RouteText,
     target_registry::RegistryUpdate,
 };
@@ -93,12 +93,12 @@
         let duties = line.duties.borrow_and_update().clone();
         for RolloutDuty { order, task } in duties {
             let (word, passed) = match task {
-                RolloutTask::Open => (RolloutWord::Running, false),
-                RolloutTask::Remember => (RolloutWord::Running, true),
+                RolloutTask::Open => (RolloutStatus::Running, false),
+                RolloutTask::Remember => (RolloutStatus::Running, true),
                 RolloutTask::End(word) => (word, false),
             };
             let (service, number) = (order.service, order.number);
-            let report = RolloutReport { service, number, word, age: None, passed };
+            let report = RolloutReport { service, number, status: word, age: None, passed };
             // The gateway is ending.
             if line.updates.send(FleetUpdate::Rollout(report)).await.is_err() {
                 return;
--- a/crates/ryetide-gateway/src/fleet_duties.rs
+++ b/crates/ryetide-gateway/src/fleet_duties.rs
@@ -83,12 +83,12 @@
                     let (service, number) = (order.service.clone(), order.number);
                     tracing::info!(event = "rollout-ordered", %service, %number, to = %order.to);
                     gateway.hub().with(|scheduler, now| {
-                        scheduler.with_rollouts(now, |desk, now| desk.take_order(now, order));
+                        scheduler.with_rollouts(now, |manager, now| manager.take_order(now, order));
                     });
                 }
             }
             FleetUpdate::Rollout(report) => gateway.hub().with(|scheduler, now| {
-                scheduler.with_rollouts(now, |desk, now| desk.take_report(now, &report));
+                scheduler.with_rollouts(now, |manager, now| manager.take_report(now, &report));
             }),
             FleetUpdate::Peers(listed) => self.take_peers(listed),
             FleetUpdate::OwnSecret(secret) => self.link.set_secret(secret),
--- a/crates/ryetide-gateway/src/ports.rs
+++ b/crates/ryetide-gateway/src/ports.rs
@@ -9,7 +9,7 @@
 use ryetide::error::StepError;
 use ryetide_core::{
     ids::{DataCentreName, VmName},
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     retry_budget::RetryRule,
     rollout_order::{RolloutDuty, RolloutOrder, RolloutReport, RolloutRule},
     route::RouteTable,
@@ -140,7 +140,8 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct KeptQuarantine {
     /// The request.
-    pub print: RequestPrint,
+    #[serde(rename = "print")]
+    pub fingerprint: RequestFingerprint,
     /// When it was blamed, in Unix milliseconds.
     pub since_ms: u64,
     /// When it was last asked for as far as is kept, in Unix milliseconds.
--- a/crates/ryetide-gateway/src/quarantine_keeper.rs
+++ b/crates/ryetide-gateway/src/quarantine_keeper.rs
@@ -5,7 +5,7 @@
 
 use ryetide::quarantine_log;
 use ryetide_core::{
-    crash_ledger::{QUARANTINE_LIFE, QuarantineMark},
+    crash_ledger::{QUARANTINE_TTL, QuarantineReport},
     ids::VmName,
 };
 use tokio::{sync::watch, time};
@@ -20,7 +20,7 @@
 const LOOK_INTERVAL: Duration = Duration::from_millis(200);
 /// What is kept is written anew when a request was asked for this long after what it says, so that one which still comes is
 /// not found to be over.
-const REWRITE_SPAN: Duration = Duration::from_secs(QUARANTINE_LIFE.as_secs() / 2);
+const REWRITE_SPAN: Duration = Duration::from_secs(QUARANTINE_TTL.as_secs() / 2);
 
 /// Looks after the quarantines of one VM.
 pub struct QuarantineKeeper {
@@ -49,7 +49,7 @@
         let (news, count, kept) = gateway.hub().peek_mut(|scheduler| {
             let ledger = scheduler.crashes_mut();
             ledger.age(now);
-            (ledger.take_news(), ledger.quarantine_count(), ledger.kept(now))
+            (ledger.take_changes(), ledger.quarantine_count(), ledger.stored(now))
         });
         let vm = gateway.settings().borrow().name.clone();
         for change in news {
@@ -76,7 +76,7 @@
         for kept in &peer.kept {
             let mark = mark_of(kept, today);
             let is_own = peer.name == *own;
-            gateway.hub().peek_mut(|it| it.crashes_mut().take_kept(now, &mark, is_own));
+            gateway.hub().peek_mut(|it| it.crashes_mut().take_stored(now, &mark, is_own));
         }
     }
 }
@@ -85,23 +85,23 @@
 pub fn must_write(before: &[KeptQuarantine], found: &[KeptQuarantine]) -> bool {
     let rewrite_ms = REWRITE_SPAN.as_millis() as u64;
     let is_kept = |now: &KeptQuarantine| {
-        let mut same = before.iter().filter(|it| it.print == now.print);
+        let mut same = before.iter().filter(|it| it.fingerprint == now.fingerprint);
         same.any(|it| now.asked_ms < it.asked_ms.saturating_add(rewrite_ms))
     };
     before.len() != found.len() || !found.iter().all(is_kept)
 }
 
-fn kept_of(mark: &QuarantineMark, today_ms: u64) -> KeptQuarantine {
+fn kept_of(mark: &QuarantineReport, today_ms: u64) -> KeptQuarantine {
     KeptQuarantine {
-        print: mark.print,
+        fingerprint: mark.fingerprint,
         since_ms: today_ms.saturating_sub(u64::from(mark.age_ms)),
         asked_ms: today_ms.saturating_sub(u64::from(mark.asked_ms)),
     }
 }
 
 /// The times of day of two VMs may differ by seconds, which is little beside a quarantine's life.
-fn mark_of(kept: &KeptQuarantine, today_ms: u64) -> QuarantineMark {
+fn mark_of(kept: &KeptQuarantine, today_ms: u64) -> QuarantineReport {
     let age = |at_ms: u64| u32::try_from(today_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
     let (age_ms, asked_ms) = (age(kept.since_ms), age(kept.asked_ms));
-    QuarantineMark { print: kept.print, age_ms, asked_ms }
+    QuarantineReport { fingerprint: kept.fingerprint, age_ms, asked_ms }
 }
--- a/crates/ryetide-gateway/src/rollout_keeper.rs
+++ b/crates/ryetide-gateway/src/rollout_keeper.rs
@@ -5,7 +5,7 @@
 
 use ryetide_core::{
     ids::VmName,
-    rollout_judge::{JudgeReason, JudgedRate},
+    rollout_evaluation::{RateComparison, VerdictReason},
     rollout_order::RolloutDuty,
     service_rollout::{RolloutChange, RolloutReason},
 };
@@ -43,7 +43,7 @@
     fn look(&self, gateway: &Gateway, link: &PeerLink) {
         let changes = gateway.hub().with(|scheduler, now| {
             scheduler.advance_rollouts(now);
-            scheduler.with_rollouts(now, |desk, _| desk.take_changes())
+            scheduler.with_rollouts(now, |manager, _| manager.take_changes())
         });
         let vm = gateway.settings().borrow().name.clone();
         for change in &changes {
@@ -74,12 +74,12 @@
     let (service, version, number) = (&order.service, &order.to, order.number);
     let cause: &'static str = reason.into();
     let judged = match reason {
-        RolloutReason::Evidence(JudgeReason::Failures(rate)) => Some(("failures", *rate)),
-        RolloutReason::Evidence(JudgeReason::Slowness(rate)) => Some(("slowness", *rate)),
+        RolloutReason::Evidence(VerdictReason::Failures(rate)) => Some(("failures", *rate)),
+        RolloutReason::Evidence(VerdictReason::Slowness(rate)) => Some(("slowness", *rate)),
         _ => None,
     };
-    let (by, JudgedRate { expected, found, answers }) =
-        judged.unwrap_or(("-", JudgedRate { expected: 0.0, found: 0.0, answers: 0 }));
+    let (by, RateComparison { expected, found, answers }) =
+        judged.unwrap_or(("-", RateComparison { expected: 0.0, found: 0.0, answers: 0 }));
     tracing::info!(
         event = "rollout-step",
         %vm,
--- a/crates/ryetide-gateway/src/rollout_rows.rs
+++ b/crates/ryetide-gateway/src/rollout_rows.rs
@@ -7,7 +7,7 @@
 
 use ryetide::error::StepError;
 use ryetide_core::rollout_order::{
-    OrderNumber, RolloutDuty, RolloutOrder, RolloutReport, RolloutTask, RolloutWord,
+    OrderNumber, RolloutDuty, RolloutOrder, RolloutReport, RolloutStatus, RolloutTask,
 };
 use serde::{Deserialize, Serialize};
 use tokio::time;
@@ -102,7 +102,7 @@
         let (service, number) = (&duty.order.service, duty.order.number);
         match done {
             Ok(report) => {
-                tracing::info!(event = "rollout-row", %service, %number, word = %report.word);
+                tracing::info!(event = "rollout-row", %service, %number, word = %report.status);
                 // The gateway may be ending.
                 let _ = self.line.updates.send(FleetUpdate::Rollout(report)).await;
             }
@@ -123,7 +123,7 @@
         order: &RolloutOrder,
     ) -> Result<RolloutReport, DutyFault> {
         let note = self.note(notes, order, false).await?;
-        let report = self.say(words, order, RolloutWord::Running).await?;
+        let report = self.say(words, order, RolloutStatus::Running).await?;
         Ok(RolloutReport { age: Some(note.age()), passed: note.passed, ..report })
     }
 
@@ -134,7 +134,7 @@
         order: &RolloutOrder,
     ) -> Result<RolloutReport, DutyFault> {
         let note = self.note(notes, order, true).await?;
-        let report = report_of(order, RolloutWord::Running);
+        let report = report_of(order, RolloutStatus::Running);
         Ok(RolloutReport { age: Some(note.age()), passed: true, ..report })
     }
 
@@ -175,7 +175,7 @@
         &self,
         words: &mut dyn StoreTable,
         order: &RolloutOrder,
-        word: RolloutWord,
+        word: RolloutStatus,
     ) -> Result<RolloutReport, DutyFault> {
         let report = |word| report_of(order, word);
         let key = self.store.word_key(&order.service);
@@ -183,7 +183,8 @@
         for _ in 0..CONFLICT_TRIES {
             let row = find(words, &key).await?;
             let said = row.as_ref().and_then(|row| self.word_of(row, order));
-            if let Some(said) = said.filter(|said| *said != RolloutWord::Running || *said == word) {
+            if let Some(said) = said.filter(|said| *said != RolloutStatus::Running || *said == word)
+            {
                 return Ok(report(said));
             }
             match words.write(&key, version_of(&row), &value, CALL_LIMIT).await {
@@ -196,7 +197,7 @@
     }
 
     /// What a row says of an order; nothing where it was written before the order, or cannot be read.
-    fn word_of(&self, row: &TableRow, order: &RolloutOrder) -> Option<RolloutWord> {
+    fn word_of(&self, row: &TableRow, order: &RolloutOrder) -> Option<RolloutStatus> {
         if row.version <= order.number.0 {
             return None;
         }
@@ -208,9 +209,9 @@
     }
 }
 
-fn report_of(order: &RolloutOrder, word: RolloutWord) -> RolloutReport {
+fn report_of(order: &RolloutOrder, word: RolloutStatus) -> RolloutReport {
     let (service, number) = (order.service.clone(), order.number);
-    RolloutReport { service, number, word, age: None, passed: false }
+    RolloutReport { service, number, status: word, age: None, passed: false }
 }
 
 async fn find(table: &mut dyn StoreTable, key: &str) -> Result<Option<TableRow>, TableFault> {
--- a/crates/ryetide-gateway/src/standing_wait.rs
+++ b/crates/ryetide-gateway/src/standing_wait.rs
@@ -4,9 +4,9 @@
 
 use hyper::{header, http};
 use ryetide_core::{
-    crash_ledger::RequestStanding,
+    crash_ledger::QuarantineStatus,
     ids::{OrganisationName, ServiceName},
-    request_print::{RequestContent, RequestPrint},
+    request_fingerprint::{RequestContent, RequestFingerprint},
 };
 use tokio::time::{self, Instant};
 
@@ -26,17 +26,17 @@
 /// Waits until it is known whether a request may be sent to the targets of `service`, until `timeout` at the longest.
 pub async fn await_standing(
     gateway: &Rc<Gateway>,
-    print: RequestPrint,
+    fingerprint: RequestFingerprint,
     service: &ServiceName,
     timeout: Instant,
 ) -> StandingVerdict {
     loop {
         let now = gateway.hub().clock().now();
-        let standing = gateway.hub().peek_mut(|it| it.standing(now, print, service));
+        let standing = gateway.hub().peek_mut(|it| it.quarantine_status(now, fingerprint, service));
         let until = match standing {
-            RequestStanding::Clear => return StandingVerdict::MaySend,
-            RequestStanding::Quarantined(life) => return StandingVerdict::Quarantined(life),
-            RequestStanding::Unsettled(until) => gateway.hub().clock().instant(until),
+            QuarantineStatus::Clear => return StandingVerdict::MaySend,
+            QuarantineStatus::Quarantined(life) => return StandingVerdict::Quarantined(life),
+            QuarantineStatus::Undecided(until) => gateway.hub().clock().instant(until),
         };
         time::sleep_until(until.min(timeout)).await;
         if Instant::now() >= timeout {
@@ -46,14 +46,14 @@
 }
 
 /// Returns by what a request is known again when it comes anew.
-pub fn print_of(
+pub fn fingerprint_of(
     head: &http::request::Parts,
     body: &[u8],
     caller: Option<&OrganisationName>,
-) -> RequestPrint {
+) -> RequestFingerprint {
     // A host that is no text is nobody's, and was turned away before.
     let host = head.headers.get(header::HOST).and_then(|host| host.to_str().ok());
-    RequestPrint::of(&RequestContent {
+    RequestFingerprint::of(&RequestContent {
         caller,
         method: head.method.as_str(),
         host: head.uri.host().or(host).unwrap_or_default(),
--- a/crates/ryetide-gateway/src/store_feed.rs
+++ b/crates/ryetide-gateway/src/store_feed.rs
@@ -9,7 +9,7 @@
 use ryetide_core::{
     era_version::EraVersion,
     ids::{DataCentreName, ServiceName, TargetName, VmName},
-    rollout_order::{RolloutOrder, RolloutWord},
+    rollout_order::{RolloutOrder, RolloutStatus},
     route::RouteTable,
     target_load::TargetEntry,
     target_registry::RegistryUpdate,
@@ -76,14 +76,14 @@
     /// # Errors
     ///
     /// Returns a [`StepError`] that tells the place at fault.
-    fn read_word(&self, value: &[u8]) -> Result<RolloutWord, StepError>;
+    fn read_word(&self, value: &[u8]) -> Result<RolloutStatus, StepError>;
 
     /// Encodes what operators are told of an order.
     ///
     /// # Errors
     ///
     /// Returns a [`StepError`] when it cannot be written.
-    fn write_word(&self, order: &RolloutOrder, word: RolloutWord) -> Result<Vec<u8>, StepError>;
+    fn write_word(&self, order: &RolloutOrder, word: RolloutStatus) -> Result<Vec<u8>, StepError>;
 
     /// Decodes the entry that a target wrote of itself.
     ///
--- a/crates/ryetide-gateway/tests/releases.rs
+++ b/crates/ryetide-gateway/tests/releases.rs
@@ -2,7 +2,7 @@
 
 use ring::hmac;
 use ryetide_core::{
-    crash_ledger::CrashNews,
+    crash_ledger::CrashUpdate,
     ids::{DataCentreName, Incarnation, OrganisationKey, TargetKey, VmName},
     load_digest::{DigestScope, LoadDigest, PlacedPrompt, TargetMark, WaitMark},
     target_limit::LimitMark,
@@ -31,7 +31,7 @@
     waiting: Vec<WaitMark>,
     spent: Vec<(OrganisationKey, u64)>,
     placed: Vec<PlacedPrompt>,
-    crashes: CrashNews,
+    crashes: CrashUpdate,
     leaving_targets: Vec<LeavingMark>,
 }
 
--- a/crates/ryetide-gateway/tests/table_follower/model_store.rs
+++ b/crates/ryetide-gateway/tests/table_follower/model_store.rs
@@ -16,7 +16,7 @@
 use ryetide_core::{
     era_version::EraVersion,
     ids::ServiceName,
-    rollout_order::{RolloutOrder, RolloutWord},
+    rollout_order::{RolloutOrder, RolloutStatus},
     route::RouteTable,
     target_load::TargetEntry,
     units::{LinkRate, Moment},
@@ -263,11 +263,15 @@
         service.to_string()
     }
 
-    fn read_word(&self, _value: &[u8]) -> Result<RolloutWord, StepError> {
+    fn read_word(&self, _value: &[u8]) -> Result<RolloutStatus, StepError> {
         Err(StepError::new("read word", "this store tells no orders"))
     }
 
-    fn write_word(&self, _order: &RolloutOrder, _word: RolloutWord) -> Result<Vec<u8>, StepError> {
+    fn write_word(
+        &self,
+        _order: &RolloutOrder,
+        _word: RolloutStatus,
+    ) -> Result<Vec<u8>, StepError> {
         Err(StepError::new("write word", "this store tells no orders"))
     }
 
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -489,8 +489,8 @@
             let limit = limit.map(tracing::field::display);
             tracing::info!(event = "target-limit", %vm, %sequence, %target, limit);
         }
-        OperatorNotice::TargetCrashed { target, print, ran_ms } => {
-            tracing::warn!(event = "target-crashed", %vm, %target, %print, ran_ms);
+        OperatorNotice::TargetCrashed { target, fingerprint, ran_ms } => {
+            tracing::warn!(event = "target-crashed", %vm, %target, print = %fingerprint, ran_ms);
         }
         OperatorNotice::Quarantine(news) => quarantine_log::write(vm, news),
         OperatorNotice::ArbiterSilent(peer) => {
--- a/src/quarantine_log.rs
+++ b/src/quarantine_log.rs
@@ -1,26 +1,38 @@
 //! The lines that tell how quarantines of requests that crash targets begin and end.
 
-use ryetide_core::{crash_ledger::QuarantineNews, ids::VmName};
+use ryetide_core::{crash_ledger::QuarantineChange, ids::VmName};
 
 /// Writes the line for `news` of the VM `vm`.
-pub fn write(vm: &VmName, news: &QuarantineNews) {
+pub fn write(vm: &VmName, news: &QuarantineChange) {
     match news {
-        QuarantineNews::Blamed(print, evidence) => tracing::warn!(
+        QuarantineChange::Started(fingerprint, evidence) => tracing::warn!(
             event = "quarantine-begun",
             %vm,
-            %print,
+            print = %fingerprint,
             crashes = evidence.crashes,
-            blamed = evidence.blamed,
+            blamed = evidence.attributed,
             elsewhere = evidence.elsewhere,
             targets = evidence.targets,
             chance_ppb = evidence.chance_ppb,
         ),
-        QuarantineNews::Heard(print) => tracing::info!(event = "quarantine-heard", %vm, %print),
-        QuarantineNews::Cleared(print) => {
-            tracing::warn!(event = "quarantine-ended", %vm, %print, reason = "answered");
+        QuarantineChange::Received(fingerprint) => {
+            tracing::info!(event = "quarantine-heard", %vm, print = %fingerprint)
         }
-        QuarantineNews::Expired(print) => {
-            tracing::info!(event = "quarantine-ended", %vm, %print, reason = "not asked for");
+        QuarantineChange::Cleared(fingerprint) => {
+            tracing::warn!(
+                event = "quarantine-ended",
+                %vm,
+                print = %fingerprint,
+                reason = "answered",
+            );
+        }
+        QuarantineChange::Expired(fingerprint) => {
+            tracing::info!(
+                event = "quarantine-ended",
+                %vm,
+                print = %fingerprint,
+                reason = "not asked for",
+            );
         }
     }
 }
--- a/src/target_client.rs
+++ b/src/target_client.rs
@@ -16,7 +16,7 @@
 use ryetide_core::{
     event::{AnswerHead, Event, LoadReport, TargetOperation, TargetRoute},
     ids::{AttemptNumber, RequestId, RequestSequence},
-    request_print::RequestPrint,
+    request_fingerprint::RequestFingerprint,
     target_word::{LimitWord, TargetWord},
     units::ByteSize,
 };
@@ -160,7 +160,7 @@
                 tracing::warn!(event = "permit-lapsed", step = "dispatch", peer = %route.name);
                 None
             }
-            TargetOperation::Dispatch { id, call, print, answer_limit, not_after: _ } => {
+            TargetOperation::Dispatch { id, call, fingerprint, answer_limit, not_after: _ } => {
                 let limit = if route.engine { ByteSize(u64::MAX) } else { answer_limit };
                 let asked = if route.engine { "POST" } else { &call.method };
                 // The edge took it from a request that the library had read.
@@ -176,7 +176,11 @@
                 let end = self.read(key, route, sent, 0, limit).await;
                 if end.is_none() {
                     let ran = sent_at.elapsed();
-                    ntex::rt::spawn(Rc::clone(self).look_for_crash(route.clone(), print, ran));
+                    ntex::rt::spawn(Rc::clone(self).look_for_crash(
+                        route.clone(),
+                        fingerprint,
+                        ran,
+                    ));
                 }
                 end
             }
@@ -263,14 +267,14 @@
     async fn look_for_crash(
         self: Rc<Self>,
         route: TargetRoute,
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         ran: Duration,
     ) {
         let connecting = TcpStream::connect(route.address);
         let Some(Err(error)) = util::within(CONNECT_TIMEOUT, connecting).await else { return };
         if error.kind() == io::ErrorKind::ConnectionRefused {
             let ran_ms = u32::try_from(ran.as_millis()).unwrap_or(u32::MAX);
-            self.tell(Event::TargetCrashed { target: route.key, print, ran_ms }).await;
+            self.tell(Event::TargetCrashed { target: route.key, fingerprint, ran_ms }).await;
         }
     }
 
