--- a/crates/ryetide-core/src/arbiter.rs
+++ b/crates/ryetide-core/src/arbiter.rs
@@ -170,7 +170,7 @@
     }
 
     /// Handles a slot request: grants it, queues it, or refuses it at once if it cannot be served.
-    pub fn ask(
+    pub fn request_slot(
         &mut self,
         now: Moment,
         request: SlotRequest,
@@ -450,12 +450,12 @@
         model.record_answer();
         self.hints.record(now, target, &report.cached);
         if report.leaving && self.switches.leaving_respected {
-            self.note_leaving(target, true, notices);
+            self.set_leaving(target, true, notices);
         }
     }
 
     /// Sets whether a target is leaving.
-    pub fn note_leaving(
+    pub fn set_leaving(
         &mut self,
         target: TargetKey,
         leaving: bool,
--- a/crates/ryetide-core/src/entry.rs
+++ b/crates/ryetide-core/src/entry.rs
@@ -55,7 +55,7 @@
     /// The seed of the random number generator.
     pub seed: u64,
     /// Peers from the settings, for a start while the platform's list of VMs is unavailable.
-    pub peers: Vec<KnownPeer>,
+    pub peers: Vec<ConfiguredPeer>,
     /// The safeguards that are enabled; mutation tests disable them one at a time.
     pub switches: SafeguardSwitches,
 }
@@ -80,7 +80,7 @@
     }
 
     /// Sets the peers from the settings.
-    pub fn with_peers(mut self, peers: Vec<KnownPeer>) -> Self {
+    pub fn with_peers(mut self, peers: Vec<ConfiguredPeer>) -> Self {
         self.peers = peers;
         self
     }
@@ -94,7 +94,7 @@
 
 /// A peer VM from the settings.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct KnownPeer {
+pub struct ConfiguredPeer {
     /// The peer's name.
     pub name: VmName,
     /// The peer's data centre.
@@ -466,10 +466,10 @@
         let staying: Vec<TargetKey> = staying.filter(|key| !self.words.holds(*key)).collect();
         for arbiter in self.arbiters.values_mut() {
             for key in &leaving {
-                arbiter.note_leaving(*key, true, &mut self.notices);
+                arbiter.set_leaving(*key, true, &mut self.notices);
             }
             for key in &staying {
-                arbiter.note_leaving(*key, false, &mut self.notices);
+                arbiter.set_leaving(*key, false, &mut self.notices);
             }
         }
         self.leaving_targets = leaving;
@@ -483,7 +483,7 @@
         }
         // Admission refuses every request while this VM drains, so these are answered immediately.
         for waiting in std::mem::take(&mut self.undecided) {
-            self.arrive(now, waiting.request, waiting.fingerprint, effects);
+            self.admit(now, waiting.request, waiting.fingerprint, effects);
         }
         let waiting: Vec<RequestSequence> = self
             .requests
--- a/crates/ryetide-core/src/entry_admission.rs
+++ b/crates/ryetide-core/src/entry_admission.rs
@@ -32,7 +32,7 @@
 
 impl EntryCore {
     /// Admits a request that is not quarantined, or answers it at once if it cannot run.
-    pub(crate) fn arrive(
+    pub(crate) fn admit(
         &mut self,
         now: Moment,
         request: CallerRequest,
@@ -75,7 +75,7 @@
                 self.claim_or_ask(now, sequence, effects);
             }
             Err(answer) => {
-                let answer = without_claim(answer, request.key.is_some());
+                let answer = unclaimed_answer(answer, request.key.is_some());
                 effects.push(Effect::FinishAnswer { sequence, answer });
             }
         }
@@ -394,7 +394,7 @@
 
 /// Returns the answer to a request whose claim was not made: "not run" becomes "unknown" if it has
 /// a key, because an earlier request with the same key may have run.
-pub(crate) fn without_claim(answer: FinalAnswer, has_key: bool) -> FinalAnswer {
+pub(crate) fn unclaimed_answer(answer: FinalAnswer, has_key: bool) -> FinalAnswer {
     match answer {
         FinalAnswer::NotRun { retry_after, .. } if has_key => {
             FinalAnswer::Unknown { reason: UnknownReason::KeyUnchecked, retry_after }
--- a/crates/ryetide-core/src/entry_election.rs
+++ b/crates/ryetide-core/src/entry_election.rs
@@ -41,7 +41,7 @@
         let mut arbiter = ScopeArbiter::new(scope, catalog, share, now + pause, switches);
         let announced = self.words.all();
         for target in self.leaving_targets.iter().copied().chain(announced) {
-            arbiter.note_leaving(target, true, &mut self.notices);
+            arbiter.set_leaving(target, true, &mut self.notices);
         }
         self.arbiters.insert(scope, arbiter);
         self.deal_limits(now);
--- a/crates/ryetide-core/src/entry_peer.rs
+++ b/crates/ryetide-core/src/entry_peer.rs
@@ -199,7 +199,7 @@
             deadline: now + Duration::from_millis(u64::from(request.deadline_ms)),
             waited: Duration::from_millis(u64::from(request.waited_ms)),
         };
-        arbiter.ask(now, slot_request, &mut self.rng, &mut self.verdicts);
+        arbiter.request_slot(now, slot_request, &mut self.rng, &mut self.verdicts);
     }
 
     /// Handles a slot that a peer returned.
--- a/crates/ryetide-core/src/entry_quarantine.rs
+++ b/crates/ryetide-core/src/entry_quarantine.rs
@@ -53,7 +53,7 @@
             self.crashes.quarantine_status(now, fingerprint, targets)
         };
         match status {
-            QuarantineStatus::Clear => self.arrive(now, request, fingerprint, effects),
+            QuarantineStatus::Clear => self.admit(now, request, fingerprint, effects),
             QuarantineStatus::Undecided(until) => {
                 let until = until.min(now + request.deadline);
                 self.undecided.push(UndecidedRequest { until, request, fingerprint, arrived: now });
@@ -62,7 +62,7 @@
                 let (sequence, has_key) = (request.sequence, request.key.is_some());
                 let reason = RefuseReason::Quarantined;
                 let answer = FinalAnswer::NotRun { reason, retry_after: Some(span) };
-                let answer = entry_admission::without_claim(answer, has_key);
+                let answer = entry_admission::unclaimed_answer(answer, has_key);
                 effects.push(Effect::FinishAnswer { sequence, answer });
             }
         }
--- a/crates/ryetide-core/src/entry_slot.rs
+++ b/crates/ryetide-core/src/entry_slot.rs
@@ -160,7 +160,7 @@
         };
         self.requests.set_wake(sequence, None);
         if let Some(arbiter) = self.arbiters.get_mut(&scope) {
-            arbiter.ask(now, request, &mut self.rng, &mut self.verdicts);
+            arbiter.request_slot(now, request, &mut self.rng, &mut self.verdicts);
         }
     }
 
--- a/crates/ryetide-core/src/entry_word.rs
+++ b/crates/ryetide-core/src/entry_word.rs
@@ -49,7 +49,7 @@
         for target in returned {
             self.words.forget(target);
             for arbiter in self.arbiters.values_mut() {
-                arbiter.note_leaving(target, false, &mut self.notices);
+                arbiter.set_leaving(target, false, &mut self.notices);
             }
         }
         let announced = self.words.all().into_iter();
@@ -63,7 +63,7 @@
         expired.retain(|key| !self.leaving_targets.contains(key));
         for target in expired {
             for arbiter in self.arbiters.values_mut() {
-                arbiter.note_leaving(target, false, &mut self.notices);
+                arbiter.set_leaving(target, false, &mut self.notices);
             }
         }
     }
@@ -79,7 +79,7 @@
 
     fn mark_leaving(&mut self, target: TargetKey) {
         for arbiter in self.arbiters.values_mut() {
-            arbiter.note_leaving(target, true, &mut self.notices);
+            arbiter.set_leaving(target, true, &mut self.notices);
         }
     }
 
--- a/crates/ryetide-core/src/lib.rs
+++ b/crates/ryetide-core/src/lib.rs
@@ -43,7 +43,7 @@
 
 pub mod affinity;
 pub mod arbiter;
-mod arbiter_placing;
+mod arbiter_placement;
 pub mod catalog;
 pub mod cell_plan;
 pub mod chart;
@@ -62,7 +62,7 @@
 mod entry_admission;
 mod entry_dispatch;
 mod entry_election;
-mod entry_end;
+mod entry_finish;
 mod entry_limit;
 mod entry_peer;
 mod entry_quarantine;
--- a/crates/ryetide-core/tests/arbiter.rs
+++ b/crates/ryetide-core/tests/arbiter.rs
@@ -89,7 +89,7 @@
             deadline: now + Duration::from_millis(deadline),
             waited: Duration::ZERO,
         };
-        self.arbiter.ask(now, ask, &mut self.rng, &mut self.verdicts);
+        self.arbiter.request_slot(now, ask, &mut self.rng, &mut self.verdicts);
         self.next
     }
 
@@ -278,7 +278,7 @@
     bench.arbiter.record_report(at(1), target("fast"), &report, &mut Vec::new());
     let number = bench.ask(at(2), 0, 10, 10, 60_000);
     assert_eq!(bench.verdict(number), Some(&VerdictKind::Grant(target("slow"))));
-    bench.arbiter.note_leaving(target("fast"), false, &mut Vec::new());
+    bench.arbiter.set_leaving(target("fast"), false, &mut Vec::new());
     let number = bench.ask(at(3), 0, 10, 10, 60_000);
     assert_eq!(bench.verdict(number), Some(&VerdictKind::Grant(target("fast"))));
 }
--- a/crates/ryetide-lab/src/slopes.rs
+++ b/crates/ryetide-lab/src/slopes.rs
@@ -309,7 +309,7 @@
             waited: Duration::ZERO,
         };
         let started = Instant::now();
-        arbiter.ask(now, ask, &mut rng, &mut verdicts);
+        arbiter.request_slot(now, ask, &mut rng, &mut verdicts);
         times.push(started.elapsed());
         let granted = verdicts.drain(..).filter(|it| matches!(it.kind, VerdictKind::Grant(_)));
         held.extend(granted.map(|verdict| verdict.key));
@@ -454,7 +454,7 @@
                 deadline: now + Duration::from_secs(3_600),
                 waited: Duration::ZERO,
             };
-            arbiter.ask(now, ask, &mut rng, &mut verdicts);
+            arbiter.request_slot(now, ask, &mut rng, &mut verdicts);
             verdicts.clear();
         }
         if number.is_multiple_of(1_000) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -26,7 +26,7 @@
 use std::{net, path::PathBuf, time::Duration};
 
 use ryetide_core::{
-    entry::KnownPeer,
+    entry::ConfiguredPeer,
     ids::{DataCentreName, VmName},
     text::{self, FaultReader, TextFaults, TextNode, ValueRange},
     units::ByteSize,
@@ -54,7 +54,7 @@
     /// The certificate's private key, PEM.
     pub key: PathBuf,
     /// Peers to meet while the platform's list cannot be read.
-    pub known: Vec<KnownPeer>,
+    pub known: Vec<ConfiguredPeer>,
 }
 
 /// Where the platform's services are.
@@ -180,12 +180,12 @@
     })
 }
 
-fn read_known_peer(reader: &mut FaultReader, node: TextNode<'_>) -> Option<KnownPeer> {
+fn read_known_peer(reader: &mut FaultReader, node: TextNode<'_>) -> Option<ConfiguredPeer> {
     reader.mapping(node, &["name", "data-centre", "address"]);
     let name = reader.required(node, "name", FaultReader::name);
     let data_centre = reader.required(node, "data-centre", FaultReader::name);
     let address = reader.required(node, "address", read_address);
-    Some(KnownPeer { name: name?, data_centre: data_centre?, address: address? })
+    Some(ConfiguredPeer { name: name?, data_centre: data_centre?, address: address? })
 }
 
 fn read_platform(reader: &mut FaultReader, node: TextNode<'_>) -> Option<PlatformSettings> {
