--- a/crates/ryetide-core/src/arbiter.rs
+++ b/crates/ryetide-core/src/arbiter.rs
@@ -20,7 +20,7 @@
     effect::OperatorNotice,
     event::LoadReport,
     ids::{OrganisationKey, ScopeKey, TargetKey, VmName},
-    limit_part::{self, TargetLimit},
+    limit_share::{self, LimitShare},
     message::{RefuseReason, ReleaseMessage, ReleaseOutcome, RequestProfile, ScopeLoad},
     output_guess::OutputGuess,
     queue::{FairQueue, QueuePosition, QueueTicket},
@@ -29,7 +29,7 @@
     slot_ledger::{HeldSlot, SlotLedger},
     slot_request::{ArbiterVerdict, RequestKey, SlotRequest, VerdictKind},
     target_estimate::TargetEstimate,
-    target_limit::LimitBook,
+    target_limit::LimitTable,
     units::{Moment, ShareWeight, TierRank},
     util,
 };
@@ -320,32 +320,32 @@
 
     /// Sets the rate limits that targets announced, and the share (0 to 1) of them that this
     /// arbiter may grant, which is `None` if another arbiter grants all of them.
-    pub fn set_limits(&mut self, now: Moment, limits: &LimitBook, share: Option<f64>) {
+    pub fn set_limits(&mut self, now: Moment, limits: &LimitTable, share: Option<f64>) {
         for (key, target) in &mut self.targets {
             match limits.rate(*key) {
                 Some(rate) => {
                     target.limit_mut().set(now, share.map(|share| share * rate.per_second()));
                 }
-                None => *target.limit_mut() = TargetLimit::None,
+                None => *target.limit_mut() = LimitShare::Unlimited,
             }
         }
     }
 
     /// Returns whether every usable target has a rate limit and another arbiter grants all of it.
     fn has_no_limit_share(&self) -> bool {
-        self.usable().all(|target| *target.limit() == TargetLimit::Elsewhere)
+        self.usable().all(|target| *target.limit() == LimitShare::NoShare)
     }
 
     /// Returns the time until all waiting requests of `tier` and more urgent tiers are granted
     /// under the targets' rate limits, or `None` unless every usable target has a rate limit.
     fn rate_limited_wait(&self, now: Moment, tier: TierRank) -> Option<Duration> {
-        let is_limited = self.usable().all(|target| *target.limit() != TargetLimit::None);
+        let is_limited = self.usable().all(|target| *target.limit() != LimitShare::Unlimited);
         if !is_limited || !self.has_usable_target() {
             return None;
         }
         let ahead = self.waiting.values().filter(|request| request.profile.tier <= tier).count();
         let first = self.backed_off_until(now).map_or(Duration::ZERO, |until| until.since(now));
-        Some(first + limit_part::time_for(ahead, self.usable().map(TargetEstimate::limit)))
+        Some(first + limit_share::time_for(ahead, self.usable().map(TargetEstimate::limit)))
     }
 
     /// Returns when the first usable target accepts work again, or `None` unless all of them
--- a/crates/ryetide-core/src/cell_plan.rs
+++ b/crates/ryetide-core/src/cell_plan.rs
@@ -2,7 +2,7 @@
 //!
 //! If every VM sent every change to every peer, the number of messages would grow with the square
 //! of the number of VMs. At 8 VMs that costs a hundredth of a core, at 70 more than a small VM has.
-//! Above [`WHOLE_LIMIT`] VMs, the VMs of a data centre are therefore divided into cells of about
+//! Above [`SINGLE_CELL_LIMIT`] VMs, the VMs of a data centre are therefore divided into cells of about
 //! [`CELL_SIZE`], and its targets with them. The VMs of a cell share its targets as a small
 //! deployment would, and send VMs outside the cell only brief digests.
 //!
@@ -26,7 +26,7 @@
 };
 
 /// The largest number of VMs that form a single cell.
-pub const WHOLE_LIMIT: usize = 12;
+pub const SINGLE_CELL_LIMIT: usize = 12;
 /// The number of VMs in a cell where there are targets enough: large enough to even out differences
 /// between the VMs' callers, small enough that the digests of each VM cost the others little.
 pub const CELL_SIZE: usize = 8;
@@ -70,11 +70,11 @@
     ///
     /// let member = |name: &str| CellMember { name: name.into(), data_centre: "hall-a".into() };
     /// let plan = CellPlan::new(&member("e1"), &[member("e2")], &[]);
-    /// assert!(plan.is_mate(&"e2".into()));
+    /// assert!(plan.is_cell_peer(&"e2".into()));
     /// ```
     pub fn new(own: &CellMember, others: &[CellMember], targets: &[&TargetEntry]) -> Self {
         let data_centre = own.data_centre.clone();
-        if others.len() < WHOLE_LIMIT {
+        if others.len() < SINGLE_CELL_LIMIT {
             return Self { cell_peers: None, data_centre, cells: BTreeMap::new(), own_cell: 0 };
         }
         let mut sizes: BTreeMap<DataCentreName, usize> = BTreeMap::new();
@@ -102,18 +102,18 @@
     }
 
     /// Returns whether the VMs are divided into cells.
-    pub fn is_dealt(&self) -> bool {
+    pub fn is_partitioned(&self) -> bool {
         self.cell_peers.is_some()
     }
 
     /// Returns whether a VM is in the same cell, and so receives full digests.
-    pub fn is_mate(&self, name: &VmName) -> bool {
+    pub fn is_cell_peer(&self, name: &VmName) -> bool {
         self.cell_peers.as_ref().is_none_or(|cell_peers| cell_peers.contains(name))
     }
 
     /// Returns whether a service's targets are divided among the cells; otherwise all VMs use all
     /// of them.
-    pub fn deals(&self, service: &[&TargetEntry]) -> bool {
+    pub fn partitions(&self, service: &[&TargetEntry]) -> bool {
         let all_cells: usize = self.cells.values().sum();
         self.cell_peers.is_some() && service.len() >= all_cells * MIN_TARGETS_PER_CELL
     }
@@ -123,7 +123,7 @@
     /// The targets of a data centre without VMs are divided among all cells.
     pub fn targets(&self, service: &[&TargetEntry]) -> Vec<TargetKey> {
         let key = |entry: &&TargetEntry| entry.key();
-        if !self.deals(service) {
+        if !self.partitions(service) {
             return service.iter().map(key).collect();
         }
         let all_cells: usize = self.cells.values().sum();
--- a/crates/ryetide-core/src/digest_route.rs
+++ b/crates/ryetide-core/src/digest_route.rs
@@ -20,7 +20,7 @@
 use xxhash_rust::xxh3;
 
 use crate::{
-    cell_plan::WHOLE_LIMIT,
+    cell_plan::SINGLE_CELL_LIMIT,
     ids::{DataCentreName, VmName},
     units::LinkRate,
 };
@@ -31,7 +31,7 @@
 pub const RELAY_COUNT: usize = 3;
 /// The largest number of peers in a cell that receive digests directly: one message to each costs
 /// less than the delay of a relay.
-pub const DIRECT_LIMIT: usize = WHOLE_LIMIT;
+pub const DIRECT_LIMIT: usize = SINGLE_CELL_LIMIT;
 /// The slowest link of a relay. The digests of forty VMs in a burst take some 67 Mbit/s, 22 for
 /// each of three relays, which a link of 20 Mbit/s cannot carry.
 pub const RELAY_LINK: LinkRate = LinkRate(100);
@@ -71,7 +71,7 @@
 /// # Example
 ///
 /// ```
-/// use ryetide_core::{digest_route::{DigestPeer, DigestRoute}, units::LinkRate};
+/// use ryetide_core::{digest_route::{DigestPeer, DigestRouter}, units::LinkRate};
 ///
 /// let peer = |name: &str, centre: &str| DigestPeer {
 ///     name: name.into(),
@@ -79,24 +79,24 @@
 ///     link: LinkRate(1_000),
 /// };
 /// let others = [peer("a2", "hall-a"), peer("b1", "hall-b"), peer("b2", "hall-b")];
-/// let mut route = DigestRoute::new(1);
-/// let recipients = route.draw_others(&"hall-a".into(), &others, |_| true);
+/// let mut route = DigestRouter::new(1);
+/// let recipients = route.choose_outside(&"hall-a".into(), &others, |_| true);
 /// assert_eq!(recipients.direct, ["a2".into()]);
 /// assert_eq!(recipients.relays.len(), 1);
 /// ```
 #[derive(Debug)]
-pub struct DigestRoute {
+pub struct DigestRouter {
     rng: SmallRng,
 }
 
-impl DigestRoute {
+impl DigestRouter {
     /// Creates a router; the same seed gives the same choices.
     pub fn new(seed: u64) -> Self {
         Self { rng: SmallRng::seed_from_u64(seed) }
     }
 
     /// Chooses the recipients among the peers in the VM's cell.
-    pub fn draw_mates(
+    pub fn choose_in_cell(
         &mut self,
         peers: &[DigestPeer],
         is_reachable: impl Fn(&VmName) -> bool,
@@ -111,7 +111,7 @@
     }
 
     /// Chooses the recipients among the VMs outside the cell, for a sender in data centre `own`.
-    pub fn draw_others(
+    pub fn choose_outside(
         &mut self,
         own: &DataCentreName,
         others: &[DigestPeer],
--- a/crates/ryetide-core/src/digest_pace.rs
+++ b/crates/ryetide-core/src/digest_timing.rs
@@ -33,20 +33,20 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ryetide_core::digest_pace::DigestPace;
+/// use ryetide_core::digest_timing::DigestTiming;
 ///
-/// assert_eq!(DigestPace::direct(7).interval(), Duration::from_millis(6));
-/// assert_eq!(DigestPace::direct(35).interval(), Duration::from_millis(30));
-/// assert_eq!(DigestPace::passed_on().interval(), Duration::from_millis(12));
+/// assert_eq!(DigestTiming::direct(7).interval(), Duration::from_millis(6));
+/// assert_eq!(DigestTiming::direct(35).interval(), Duration::from_millis(30));
+/// assert_eq!(DigestTiming::relayed().interval(), Duration::from_millis(12));
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct DigestPace {
+pub struct DigestTiming {
     interval: Duration,
     /// The longest time for which a digest waits at a relay.
     relay_delay: Duration,
 }
 
-impl DigestPace {
+impl DigestTiming {
     /// Returns the timing of a VM that sends its digests directly to this many peers in its cell.
     pub fn direct(peers: usize) -> Self {
         let peers = u32::try_from(peers).unwrap_or(u32::MAX);
@@ -56,7 +56,7 @@
     }
 
     /// Returns the timing of a VM that sends its digests through a relay.
-    pub fn passed_on() -> Self {
+    pub fn relayed() -> Self {
         Self { interval: RELAYED_INTERVAL, relay_delay: RELAY_INTERVAL }
     }
 
@@ -66,12 +66,12 @@
     }
 
     /// Returns for how long digests repeat a change.
-    pub fn change_span(&self) -> Duration {
+    pub fn repeat_span(&self) -> Duration {
         self.interval * REPEATS
     }
 
     /// Returns the time within which a change at one VM reaches all peers in its cell.
-    pub fn news_span(&self) -> Duration {
+    pub fn propagation_time(&self) -> Duration {
         self.interval + self.relay_delay + NETWORK_DELAY
     }
 }
--- a/crates/ryetide-core/src/digest_teller.rs
+++ b/crates/ryetide-core/src/digest_tracker.rs
@@ -19,7 +19,7 @@
 
 /// Tracks recent changes of a VM's load.
 #[derive(Debug, Default)]
-pub struct DigestTeller {
+pub struct DigestTracker {
     sequence: u64,
     placed: VecDeque<PlacedPrompt>,
     placement_count: u32,
@@ -29,7 +29,7 @@
     last_full: Option<Moment>,
 }
 
-impl DigestTeller {
+impl DigestTracker {
     /// Returns the sequence number of the next digest.
     pub fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
@@ -37,12 +37,12 @@
     }
 
     /// Records that a request has begun or ended at a target.
-    pub fn note_touched(&mut self, now: Moment, target: TargetKey) {
+    pub fn record_touched(&mut self, now: Moment, target: TargetKey) {
         self.touched.push_back((now, target));
     }
 
     /// Records that a prompt was dispatched to a target.
-    pub fn note_placed(&mut self, target: TargetKey, part: u32, prompt: Tokens) {
+    pub fn record_placement(&mut self, target: TargetKey, part: u32, prompt: Tokens) {
         self.placement_count += 1;
         let tokens = u32::try_from(prompt.0).unwrap_or(u32::MAX);
         self.placed.push_back(PlacedPrompt { number: self.placement_count, part, target, tokens });
@@ -52,9 +52,9 @@
     }
 
     /// Returns the scope of the next digest. A VM that is leaving always sends full ones. Changes
-    /// older than `change_span` are dropped.
-    pub fn next_scope(&mut self, now: Moment, change_span: Duration, leaving: bool) -> DigestScope {
-        while self.touched.front().is_some_and(|(at, _)| now.since(*at) >= change_span) {
+    /// older than `repeat_span` are dropped.
+    pub fn next_scope(&mut self, now: Moment, repeat_span: Duration, leaving: bool) -> DigestScope {
+        while self.touched.front().is_some_and(|(at, _)| now.since(*at) >= repeat_span) {
             self.touched.pop_front();
         }
         let due = self.last_full.is_none_or(|at| now.since(at) >= FULL_INTERVAL);
--- a/crates/ryetide-core/src/effect.rs
+++ b/crates/ryetide-core/src/effect.rs
@@ -14,7 +14,7 @@
     },
     message::PeerMessage,
     request_fingerprint::RequestFingerprint,
-    target_word::TargetWord,
+    target_notice::TargetNotice,
     units::{RequestRate, Revision, Tokens},
 };
 
@@ -264,7 +264,7 @@
         /// The target.
         target: TargetKey,
         /// The notice.
-        word: TargetWord,
+        word: TargetNotice,
     },
     /// A target has changed or removed its rate limit in its answer to a request.
     TargetLimit {
--- a/crates/ryetide-core/src/entry.rs
+++ b/crates/ryetide-core/src/entry.rs
@@ -33,8 +33,8 @@
     request::RequestTable,
     safeguard::SafeguardSwitches,
     slot_request::ArbiterVerdict,
-    target_limit::LimitBook,
-    target_word::LeavingWords,
+    target_limit::LimitTable,
+    target_notice::LeavingNotices,
     units::{Moment, Revision},
 };
 
@@ -171,12 +171,12 @@
     /// Targets that the platform's list marks as leaving.
     pub(crate) leaving_targets: BTreeSet<TargetKey>,
     /// Targets that announced in their answers that they are leaving.
-    pub(crate) words: LeavingWords,
+    pub(crate) leaving_notices: LeavingNotices,
     /// The rate limits that targets announced in their answers.
-    pub(crate) limits: LimitBook,
+    pub(crate) limits: LimitTable,
     /// Targets that announced that they are leaving and were missing from the platform's list when
     /// it was last read.
-    pub(crate) unlisted_words: BTreeSet<TargetKey>,
+    pub(crate) unlisted_leaving: BTreeSet<TargetKey>,
     /// Crashes of targets, and the requests that were running at the time.
     pub(crate) crashes: CrashLedger,
     /// Requests held back until it is known whether they crash targets.
@@ -208,9 +208,9 @@
             arbiters: BTreeMap::new(),
             elected: BTreeMap::new(),
             leaving_targets: BTreeSet::new(),
-            words: LeavingWords::default(),
-            limits: LimitBook::default(),
-            unlisted_words: BTreeSet::new(),
+            leaving_notices: LeavingNotices::default(),
+            limits: LimitTable::default(),
+            unlisted_leaving: BTreeSet::new(),
             crashes: CrashLedger::default(),
             undecided: Vec::new(),
             watched: Vec::new(),
@@ -419,8 +419,8 @@
         self.configuration.advance(now, vm_count, &mut tokens, effects);
         self.claims.advance(now);
         self.crashes.age(now);
-        self.age_words(now);
-        self.age_limits(now);
+        self.expire_leaving_notices(now);
+        self.expire_limits(now);
     }
 
     fn handle_table_reply(
@@ -461,9 +461,10 @@
         let names: BTreeSet<TargetKey> = keyed.iter().map(|(key, _)| *key).collect();
         let leaving: BTreeSet<TargetKey> =
             keyed.iter().filter(|(_, leaves)| *leaves).map(|(key, _)| *key).collect();
-        self.take_back_words(&names, &leaving);
+        self.clear_outdated_notices(&names, &leaving);
         let staying = self.leaving_targets.difference(&leaving).copied();
-        let staying: Vec<TargetKey> = staying.filter(|key| !self.words.holds(*key)).collect();
+        let staying: Vec<TargetKey> =
+            staying.filter(|key| !self.leaving_notices.contains(*key)).collect();
         for arbiter in self.arbiters.values_mut() {
             for key in &leaving {
                 arbiter.set_leaving(*key, true, &mut self.notices);
--- a/crates/ryetide-core/src/entry_admission.rs
+++ b/crates/ryetide-core/src/entry_admission.rs
@@ -14,7 +14,7 @@
     message::{ClaimOutcome, PeerMessage, RefuseReason, RequestProfile, RequestRef},
     request::RequestRecord,
     request_fingerprint::RequestFingerprint,
-    target_word::TargetWord,
+    target_notice::TargetNotice,
     units::{ByteSize, Moment, TierRank},
 };
 
@@ -59,7 +59,7 @@
                     refusal: None,
                     attempt: AttemptNumber(0),
                     route: None,
-                    notice: TargetWord::default(),
+                    notice: TargetNotice::default(),
                     answer_limit: rule_limit,
                     connection_open: false,
                     dispatched: None,
--- a/crates/ryetide-core/src/entry_election.rs
+++ b/crates/ryetide-core/src/entry_election.rs
@@ -39,12 +39,12 @@
         let catalog = self.configuration.catalog();
         let switches = self.options.switches;
         let mut arbiter = ScopeArbiter::new(scope, catalog, share, now + pause, switches);
-        let announced = self.words.all();
+        let announced = self.leaving_notices.all();
         for target in self.leaving_targets.iter().copied().chain(announced) {
             arbiter.set_leaving(target, true, &mut self.notices);
         }
         self.arbiters.insert(scope, arbiter);
-        self.deal_limits(now);
+        self.update_limit_shares(now);
         self.watch_targets(effects);
     }
 
@@ -89,7 +89,7 @@
             let elected = self.elected.get(scope).and_then(Option::as_ref) == Some(&own);
             arbiter.set_share(if elected { 1.0 } else { share });
         }
-        self.deal_limits(now);
+        self.update_limit_shares(now);
         self.watch_targets(effects);
     }
 
--- a/crates/ryetide-core/src/entry_limit.rs
+++ b/crates/ryetide-core/src/entry_limit.rs
@@ -5,28 +5,28 @@
     entry::EntryCore,
     ids::{RequestSequence, ScopeKey, TargetKey},
     message::PeerMessage,
-    target_limit::LimitMark,
-    target_word::LimitWord,
+    target_limit::LimitReport,
+    target_notice::LimitNotice,
     units::Moment,
 };
 
 impl EntryCore {
     /// Records what the answer to a request says about its target's limit. An answer without a
     /// limit ends the known one.
-    pub(crate) fn note_limit(
+    pub(crate) fn record_limit(
         &mut self,
         now: Moment,
         sequence: RequestSequence,
         target: TargetKey,
-        notice: LimitWord,
+        notice: LimitNotice,
         effects: &mut EffectBuffer,
     ) {
         let sent_at = self.requests.get(sequence).and_then(|record| record.dispatched);
-        if self.limits.note(now, target, notice, sent_at.unwrap_or_default()) {
+        if self.limits.record(now, target, notice, sent_at.unwrap_or_default()) {
             let limit = self.limits.rate(target);
             self.notices.push(OperatorNotice::TargetLimit { sequence, target, limit });
-            self.deal_limits(now);
-            self.tell_limits(now, effects);
+            self.update_limit_shares(now);
+            self.send_limit_reports(now, effects);
         }
     }
 
@@ -40,22 +40,22 @@
     ) {
         let Some(record) = self.requests.get(sequence) else { return };
         let Some(target) = record.slot.as_ref().and_then(|slot| slot.target) else { return };
-        if record.notice.limit == LimitWord::Unnamed && self.limits.rate(target).is_some() {
-            self.note_limit(now, sequence, target, LimitWord::Unnamed, effects);
+        if record.notice.limit == LimitNotice::Unnamed && self.limits.rate(target).is_some() {
+            self.record_limit(now, sequence, target, LimitNotice::Unnamed, effects);
         }
     }
 
     /// Records peers' reports on limits.
-    pub(crate) fn take_limits(&mut self, now: Moment, reports: &[LimitMark]) {
-        let new = reports.iter().filter(|report| self.limits.take(now, **report)).count();
+    pub(crate) fn merge_limit_reports(&mut self, now: Moment, reports: &[LimitReport]) {
+        let new = reports.iter().filter(|report| self.limits.merge(now, **report)).count();
         if new > 0 {
-            self.deal_limits(now);
+            self.update_limit_shares(now);
         }
     }
 
     /// Sends the latest announced limits to all peers.
-    pub(crate) fn tell_limits(&mut self, now: Moment, effects: &mut EffectBuffer) {
-        let reports = self.limits.told(now);
+    pub(crate) fn send_limit_reports(&mut self, now: Moment, effects: &mut EffectBuffer) {
+        let reports = self.limits.reports(now);
         if reports.is_empty() {
             return;
         }
@@ -66,17 +66,17 @@
     }
 
     /// Drops expired announcements, and computes this VM's share of each limit.
-    pub(crate) fn age_limits(&mut self, now: Moment) {
+    pub(crate) fn expire_limits(&mut self, now: Moment) {
         if self.limits.is_empty() {
             return;
         }
         let known = self.targets_of_catalog();
-        self.limits.age(now, |target| known.contains(&target));
-        self.deal_limits(now);
+        self.limits.expire(now, |target| known.contains(&target));
+        self.update_limit_shares(now);
     }
 
     /// Sets the share of each limit for the arbiters of this VM.
-    pub(crate) fn deal_limits(&mut self, now: Moment) {
+    pub(crate) fn update_limit_shares(&mut self, now: Moment) {
         let scopes: Vec<ScopeKey> = self.arbiters.keys().copied().collect();
         for scope in scopes {
             let share = self.limit_share(scope);
--- a/crates/ryetide-core/src/entry_word.rs
+++ b/crates/ryetide-core/src/entry_notice.rs
@@ -7,7 +7,7 @@
     entry::EntryCore,
     ids::{RequestSequence, TargetKey},
     message::PeerMessage,
-    target_word::{LeavingMark, TargetWord},
+    target_notice::{LeavingReport, TargetNotice},
     units::Moment,
 };
 
@@ -19,47 +19,51 @@
         now: Moment,
         sequence: RequestSequence,
         target: TargetKey,
-        notice: TargetWord,
+        notice: TargetNotice,
         effects: &mut EffectBuffer,
     ) {
         self.notices.push(OperatorNotice::TargetSaid { sequence, target, word: notice });
         if let Some(record) = self.requests.get_mut(sequence) {
             record.notice = notice;
         }
-        self.note_limit(now, sequence, target, notice.limit, effects);
-        if notice.leaving && self.words.note(now, target) {
+        self.record_limit(now, sequence, target, notice.limit, effects);
+        if notice.leaving && self.leaving_notices.record(now, target) {
             self.mark_leaving(target);
-            self.tell_words(now, effects);
+            self.send_leaving_reports(now, effects);
         }
     }
 
     /// Drops the notices of targets that the platform's list has since shown as gone and back
     /// again, or as staying: a target keeps its name when it restarts.
-    pub(crate) fn take_back_words(
+    pub(crate) fn clear_outdated_notices(
         &mut self,
         listed: &BTreeSet<TargetKey>,
         leaving: &BTreeSet<TargetKey>,
     ) {
         let was_away = |key: &TargetKey| {
-            self.leaving_targets.contains(key) || self.unlisted_words.contains(key)
+            self.leaving_targets.contains(key) || self.unlisted_leaving.contains(key)
         };
         let stays = |key: &TargetKey| listed.contains(key) && !leaving.contains(key);
-        let returned: Vec<TargetKey> =
-            self.words.all().into_iter().filter(|key| stays(key) && was_away(key)).collect();
+        let returned: Vec<TargetKey> = self
+            .leaving_notices
+            .all()
+            .into_iter()
+            .filter(|key| stays(key) && was_away(key))
+            .collect();
         for target in returned {
-            self.words.forget(target);
+            self.leaving_notices.forget(target);
             for arbiter in self.arbiters.values_mut() {
                 arbiter.set_leaving(target, false, &mut self.notices);
             }
         }
-        let announced = self.words.all().into_iter();
-        self.unlisted_words = announced.filter(|key| !listed.contains(key)).collect();
+        let announced = self.leaving_notices.all().into_iter();
+        self.unlisted_leaving = announced.filter(|key| !listed.contains(key)).collect();
     }
 
     /// Drops expired notices. The target gets requests again then, and repeats its notice if it is
     /// still leaving.
-    pub(crate) fn age_words(&mut self, now: Moment) {
-        let mut expired = self.words.age(now);
+    pub(crate) fn expire_leaving_notices(&mut self, now: Moment) {
+        let mut expired = self.leaving_notices.expire(now);
         expired.retain(|key| !self.leaving_targets.contains(key));
         for target in expired {
             for arbiter in self.arbiters.values_mut() {
@@ -69,9 +73,9 @@
     }
 
     /// Records peers' reports of leaving targets.
-    pub(crate) fn take_words(&mut self, now: Moment, reports: &[LeavingMark]) {
+    pub(crate) fn merge_leaving_reports(&mut self, now: Moment, reports: &[LeavingReport]) {
         for report in reports {
-            if self.words.take(now, *report) {
+            if self.leaving_notices.merge(now, *report) {
                 self.mark_leaving(report.target);
             }
         }
@@ -85,10 +89,10 @@
 
     /// Sends to all peers which targets have announced that they are leaving, where the platform's
     /// list does not say so.
-    pub(crate) fn tell_words(&mut self, now: Moment, effects: &mut EffectBuffer) {
+    pub(crate) fn send_leaving_reports(&mut self, now: Moment, effects: &mut EffectBuffer) {
         let known = self.targets_of_catalog();
         let unregistered = known.iter().copied().filter(|key| !self.leaving_targets.contains(key));
-        let reports = self.words.told(now, unregistered);
+        let reports = self.leaving_notices.reports(now, unregistered);
         if reports.is_empty() {
             return;
         }
@@ -100,7 +104,7 @@
 
     /// Returns whether a target is leaving, by the platform's list or its own notice.
     pub(crate) fn is_leaving(&self, target: TargetKey) -> bool {
-        self.leaving_targets.contains(&target) || self.words.holds(target)
+        self.leaving_targets.contains(&target) || self.leaving_notices.contains(target)
     }
 
     /// Returns the targets that the configuration names.
--- a/crates/ryetide-core/src/entry_peer.rs
+++ b/crates/ryetide-core/src/entry_peer.rs
@@ -64,8 +64,8 @@
                     effects.push(Effect::Send { to: sender.name.clone(), message });
                 }
             }
-            PeerMessage::Leaving(marks) => self.take_words(now, &marks),
-            PeerMessage::Limits(marks) => self.take_limits(now, &marks),
+            PeerMessage::Leaving(marks) => self.merge_leaving_reports(now, &marks),
+            PeerMessage::Limits(marks) => self.merge_limit_reports(now, &marks),
             PeerMessage::Crashes(news) => self.crashes.take(now, &news),
             PeerMessage::OutcomeReply { ask, outcome } => {
                 let awaited = self.claims.query_deadline(ask.sequence).is_some();
@@ -140,8 +140,8 @@
         }
         let crashes = self.crashes.full_update(now);
         self.send_crash_update(&crashes, effects);
-        self.tell_words(now, effects);
-        self.tell_limits(now, effects);
+        self.send_leaving_reports(now, effects);
+        self.send_limit_reports(now, effects);
     }
 
     /// Frees the slots that newly silent peers held, and elects new arbiters for their scopes.
--- a/crates/ryetide-core/src/entry_slot.rs
+++ b/crates/ryetide-core/src/entry_slot.rs
@@ -16,7 +16,7 @@
     },
     request::{RequestSlot, SlotSource},
     slot_request::{ArbiterVerdict, RequestKey, SlotRequest, VerdictKind},
-    target_word::TargetWord,
+    target_notice::TargetNotice,
     units::{Moment, TierRank, Tokens},
     util,
 };
@@ -418,9 +418,11 @@
         }
         // A notice from the target takes precedence over the outcome of the request.
         let outcome = match record.notice {
-            TargetWord { leaving: true, .. } => ReleaseOutcome::TargetLeaving,
-            TargetWord { hold_off: Some(span), .. } => ReleaseOutcome::HeldOff(util::millis(span)),
-            TargetWord { .. } => outcome,
+            TargetNotice { leaving: true, .. } => ReleaseOutcome::TargetLeaving,
+            TargetNotice { hold_off: Some(span), .. } => {
+                ReleaseOutcome::HeldOff(util::millis(span))
+            }
+            TargetNotice { .. } => outcome,
         };
         let since_dispatch =
             |at: Option<Moment>| at.zip(record.dispatched).map(|(at, start)| at.since(start));
--- a/crates/ryetide-core/src/era_version.rs
+++ b/crates/ryetide-core/src/era_version.rs
@@ -22,10 +22,10 @@
 ///
 /// let before = EraVersion { era: 1, number: 55 };
 /// let after = EraVersion { era: 2, number: 51 };
-/// assert!(after.joined() > before.joined());
-/// assert_eq!(EraVersion::of(after.joined()), after);
+/// assert!(after.to_packed() > before.to_packed());
+/// assert_eq!(EraVersion::from_packed(after.to_packed()), after);
 /// // Without an era, the packed form is the number itself.
-/// assert_eq!(EraVersion { era: 0, number: 55 }.joined(), 55);
+/// assert_eq!(EraVersion { era: 0, number: 55 }.to_packed(), 55);
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct EraVersion {
@@ -36,13 +36,13 @@
 }
 
 impl EraVersion {
-    /// Unpacks a version from the form that [`EraVersion::joined`] returns.
-    pub fn of(joined: u64) -> Self {
-        Self { era: joined >> NUMBER_BITS, number: joined & NUMBER_MASK }
+    /// Unpacks a version from the form that [`EraVersion::to_packed`] returns.
+    pub fn from_packed(packed: u64) -> Self {
+        Self { era: packed >> NUMBER_BITS, number: packed & NUMBER_MASK }
     }
 
     /// Returns the version packed into one number, ordered by era and then by number.
-    pub fn joined(self) -> u64 {
+    pub fn to_packed(self) -> u64 {
         let greatest_era = u64::MAX >> NUMBER_BITS;
         self.era.min(greatest_era) << NUMBER_BITS | self.number.min(NUMBER_MASK)
     }
--- a/crates/ryetide-core/src/event.rs
+++ b/crates/ryetide-core/src/event.rs
@@ -14,7 +14,7 @@
     },
     message::{PeerMessage, RefuseReason, StoredAnswer},
     request_fingerprint::RequestFingerprint,
-    target_word::TargetWord,
+    target_notice::TargetNotice,
     units::{ByteSize, Moment, Revision, Tokens},
 };
 
@@ -251,7 +251,7 @@
         /// The target.
         target: TargetKey,
         /// The notice.
-        word: TargetWord,
+        word: TargetNotice,
     },
     /// A target crashed while it ran a request: the connection broke and the target has refused
     /// connections since.
--- a/crates/ryetide-core/src/ids.rs
+++ b/crates/ryetide-core/src/ids.rs
@@ -109,18 +109,18 @@
 number_type!(
     /// The incarnation of a target: its start time in Unix milliseconds; 0 where the registry does
     /// not name it. It is only compared: a later incarnation has a higher number.
-    TargetLife(u64)
+    TargetIncarnation(u64)
 );
 
 impl TargetKey {
     /// Returns the key of one incarnation of a target. A target that restarts under its old name is
     /// a different target to everything that goes by keys, so that what is known of its earlier
     /// incarnation, and what peers still report of it, is not applied to the new one.
-    pub fn of_life(name: &TargetName, life: TargetLife) -> Self {
-        if life == TargetLife::default() {
+    pub fn of_incarnation(name: &TargetName, incarnation: TargetIncarnation) -> Self {
+        if incarnation == TargetIncarnation::default() {
             return Self::of(name);
         }
-        Self(xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), life.0) as u32)
+        Self(xxh3::xxh3_64_with_seed(name.as_str().as_bytes(), incarnation.0) as u32)
     }
 }
 
--- a/crates/ryetide-core/src/lib.rs
+++ b/crates/ryetide-core/src/lib.rs
@@ -34,10 +34,10 @@
 //! | [`rollout_order`], [`rollout_manager`], [`service_rollout`], [`rollout_evidence`], [`rollout_evaluation`] | rollouts of new versions: their traffic, evaluation and outcome |
 //! | [`scheduler`], [`scheduler_options`], [`line_view`], [`wait_line`], [`recent_arrivals`], [`deadline_habit`], [`decision`] | queueing and refusal of routed requests |
 //! | [`placing`], [`target_load`], [`target_health`], [`pace`], [`prompt_memory`] | placement of routed requests |
-//! | [`load_digest`], [`peer_board`], [`cell_plan`], [`digest_pace`], [`digest_route`] | load reports between entry VMs |
-//! | [`target_registry`], [`target_word`] | the existing targets, and the notices in their answers |
-//! | [`target_limit`], [`limit_part`] | request rate limits that targets announce, and each VM's share of them |
-//! | [`watch_duty`], [`era_version`] | which VMs watch the source of routes and targets, and how its versions compare |
+//! | [`load_digest`], [`peer_digests`], [`cell_plan`], [`digest_timing`], [`digest_route`] | load reports between entry VMs |
+//! | [`target_registry`], [`target_notice`] | the existing targets, and the notices in their answers |
+//! | [`target_limit`], [`limit_share`] | request rate limits that targets announce, and each VM's share of them |
+//! | [`watcher_selection`], [`era_version`] | which VMs watch the source of routes and targets, and how its versions compare |
 //! | [`safeguard`] | switches that let tests show what each safeguard prevents |
 //! | [`ids`], [`units`], [`json_form`] | newtypes, and the JSON encoding of values |
 
@@ -54,9 +54,9 @@
 pub mod crash_ledger;
 pub mod deadline_habit;
 pub mod decision;
-pub mod digest_pace;
 pub mod digest_route;
-mod digest_teller;
+pub mod digest_timing;
+mod digest_tracker;
 pub mod effect;
 pub mod entry;
 mod entry_admission;
@@ -64,23 +64,23 @@
 mod entry_election;
 mod entry_finish;
 mod entry_limit;
+mod entry_notice;
 mod entry_peer;
 mod entry_quarantine;
 mod entry_resume;
 mod entry_slot;
-mod entry_word;
 pub mod era_version;
 pub mod event;
 pub mod ids;
 pub mod json_form;
-pub mod limit_part;
+pub mod limit_share;
 pub mod line_view;
 pub mod load_digest;
 pub mod membership;
 pub mod message;
 mod output_guess;
 pub mod pace;
-pub mod peer_board;
+pub mod peer_digests;
 pub mod place_turn;
 pub mod placing;
 pub mod prompt_memory;
@@ -111,10 +111,10 @@
 pub mod target_health;
 pub mod target_limit;
 pub mod target_load;
+pub mod target_notice;
 pub mod target_registry;
-pub mod target_word;
 pub mod text;
 pub mod units;
 mod util;
 pub mod wait_line;
-pub mod watch_duty;
+pub mod watcher_selection;
--- a/crates/ryetide-core/src/limit_part.rs
+++ b/crates/ryetide-core/src/limit_share.rs
@@ -17,13 +17,13 @@
 
 use crate::{
     ids::{TargetKey, VmName},
-    peer_board::HEARD_SPAN,
+    peer_digests::PEER_TIMEOUT,
     units::{Moment, RequestRate},
 };
 
 /// A VM that gains a share sends nothing for this long. The previous holder learns of its loss
 /// within the time after which a silent peer counts as unreachable.
-pub const HANDOVER_SPAN: Duration = HEARD_SPAN;
+pub const HANDOVER_SPAN: Duration = PEER_TIMEOUT;
 /// The longest pause between two requests, also to a target that accepts none: the requests show
 /// when it accepts some again.
 const LONGEST_PAUSE: Duration = Duration::from_secs(30);
@@ -38,11 +38,11 @@
 /// # Example
 ///
 /// ```
-/// use ryetide_core::{ids::TargetKey, limit_part, units::RequestRate};
+/// use ryetide_core::{ids::TargetKey, limit_share, units::RequestRate};
 ///
 /// let target = TargetKey::of(&"t1".into());
 /// let vms = [&"e1".into(), &"e2".into(), &"e3".into()];
-/// let share = |own: usize| limit_part::rate_of(RequestRate(1_900), target, vms[own], &vms);
+/// let share = |own: usize| limit_share::rate_of(RequestRate(1_900), target, vms[own], &vms);
 /// let shares: Vec<f64> = (0..3).filter_map(share).collect();
 /// assert_eq!(shares, [1.9]);
 /// ```
@@ -64,10 +64,10 @@
 /// # Example
 ///
 /// ```
-/// use ryetide_core::{limit_part::{HANDOVER_SPAN, TargetLimit}, units::Moment};
+/// use ryetide_core::{limit_share::{HANDOVER_SPAN, LimitShare}, units::Moment};
 ///
 /// let now = Moment::from_millis(1);
-/// let mut limit = TargetLimit::None;
+/// let mut limit = LimitShare::Unlimited;
 /// limit.set(now, Some(2.0));
 /// let first = now + HANDOVER_SPAN;
 /// assert!(!limit.permits(now) && limit.permits(first));
@@ -75,29 +75,31 @@
 /// assert!(!limit.permits(first));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum TargetLimit {
+pub enum LimitShare {
     /// The target announces no limit.
     #[default]
-    None,
+    Unlimited,
     /// The target announces a limit, and other VMs hold all shares.
-    Elsewhere,
+    NoShare,
     /// This VM holds a share.
-    Part(PacedPart),
+    Share(PacedShare),
 }
 
-impl TargetLimit {
+impl LimitShare {
     /// Sets this VM's share in requests a second; none when other VMs hold all shares.
     pub fn set(&mut self, now: Moment, rate: Option<f64>) {
         *self = match (*self, rate) {
-            (_, None) => Self::Elsewhere,
-            (Self::Part(share), Some(rate)) => Self::Part(PacedPart { rate, ..share }),
-            (Self::None | Self::Elsewhere, Some(rate)) => Self::Part(PacedPart::start(now, rate)),
+            (_, None) => Self::NoShare,
+            (Self::Share(share), Some(rate)) => Self::Share(PacedShare { rate, ..share }),
+            (Self::Unlimited | Self::NoShare, Some(rate)) => {
+                Self::Share(PacedShare::start(now, rate))
+            }
         };
     }
 
     /// Records that a request is dispatched.
     pub fn take(&mut self, now: Moment) {
-        if let Self::Part(share) = self {
+        if let Self::Share(share) = self {
             share.last_dispatch = Some(now);
         }
     }
@@ -105,42 +107,42 @@
     /// Returns whether a request may be dispatched now.
     pub fn permits(&self, now: Moment) -> bool {
         match self {
-            Self::None => true,
-            Self::Elsewhere => false,
-            Self::Part(share) => now >= share.next_at(),
+            Self::Unlimited => true,
+            Self::NoShare => false,
+            Self::Share(share) => now >= share.next_at(),
         }
     }
 
     /// Returns the requests a second that this VM may dispatch; none without a limit.
     pub fn rate(&self) -> Option<f64> {
         match self {
-            Self::None => None,
-            Self::Elsewhere => Some(0.0),
-            Self::Part(share) => Some(share.rate),
+            Self::Unlimited => None,
+            Self::NoShare => Some(0.0),
+            Self::Share(share) => Some(share.rate),
         }
     }
 
     /// Returns the earliest time at which a retry from a refused caller can be dispatched, by this
     /// VM or by one that holds a share.
-    pub fn wants_at(&self, now: Moment) -> Moment {
+    pub fn ready_at(&self, now: Moment) -> Moment {
         match self {
-            Self::None => now,
-            Self::Elsewhere => now + NO_SHARE_RETRY_DELAY,
-            Self::Part(share) => share.next_at(),
+            Self::Unlimited => now,
+            Self::NoShare => now + NO_SHARE_RETRY_DELAY,
+            Self::Share(share) => share.next_at(),
         }
     }
 }
 
 /// A share of a limit, and when its next request may be dispatched.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PacedPart {
+pub struct PacedShare {
     rate: f64,
     /// Nothing may be dispatched before this time, whatever the rate.
     held_until: Moment,
     last_dispatch: Option<Moment>,
 }
 
-impl PacedPart {
+impl PacedShare {
     /// Creates a share of `rate` requests a second. The first may be dispatched after
     /// [`HANDOVER_SPAN`].
     fn start(now: Moment, rate: f64) -> Self {
@@ -157,7 +159,7 @@
 }
 
 /// Returns the time until `count` requests can be dispatched to targets that all announce a limit.
-pub fn time_for<'a>(count: usize, limits: impl Iterator<Item = &'a TargetLimit>) -> Duration {
-    let rate: f64 = limits.filter_map(TargetLimit::rate).sum();
+pub fn time_for<'a>(count: usize, limits: impl Iterator<Item = &'a LimitShare>) -> Duration {
+    let rate: f64 = limits.filter_map(LimitShare::rate).sum();
     Duration::from_secs_f64(count as f64 / rate.max(MIN_RATE))
 }
--- a/crates/ryetide-core/src/line_view.rs
+++ b/crates/ryetide-core/src/line_view.rs
@@ -9,9 +9,9 @@
 use crate::{
     decision::{PlacingEvidence, RefusalReason},
     ids::{RequestSequence, ServiceKey, ServiceName, TargetKey},
-    limit_part::{self, TargetLimit},
-    load_digest::WaitMark,
-    peer_board::{AheadCount, PeerBoard},
+    limit_share::{self, LimitShare},
+    load_digest::QueueReport,
+    peer_digests::{AheadCount, PeerDigests},
     place_turn::{self, ClaimClass, OpenPlace, PlaceClaimant},
     placing::{self, PlacingForecast, PlacingNeed},
     recent_arrivals::{self, RecentArrivals},
@@ -30,7 +30,7 @@
     /// The targets.
     pub keys: Vec<TargetKey>,
     /// Whether only the VMs of this VM's cell use these targets.
-    pub is_dealt: bool,
+    pub is_partitioned: bool,
 }
 
 /// The queue of a service, its targets, and the observed load.
@@ -96,8 +96,8 @@
     /// have requested back-off.
     held_until: Option<Moment>,
     /// This VM's limits for the targets that are not leaving, if all of them set a limit.
-    limits: Option<Vec<TargetLimit>>,
-    peers: &'a PeerBoard,
+    limits: Option<Vec<LimitShare>>,
+    peers: &'a PeerDigests,
     options: &'a SchedulerOptions,
     sharing: PlaceSharing,
 }
@@ -117,7 +117,7 @@
         now: Moment,
         state: &'a ServiceLine,
         targets: &'a BTreeMap<TargetKey, TargetLoad>,
-        peers: &'a PeerBoard,
+        peers: &'a PeerDigests,
         options: &'a SchedulerOptions,
         sharing: PlaceSharing,
     ) -> Self {
@@ -203,7 +203,7 @@
         // Another VM may send requests that this one may not, and the caller's retry can reach that
         // VM.
         let is_elsewhere =
-            |limits: &Vec<TargetLimit>| limits.iter().all(|limit| *limit == TargetLimit::Elsewhere);
+            |limits: &Vec<LimitShare>| limits.iter().all(|limit| *limit == LimitShare::NoShare);
         if self.limits.as_ref().is_some_and(is_elsewhere) {
             return Some(RefusalReason::HeldOff);
         }
@@ -271,7 +271,7 @@
         let slot = OpenPlace { target: load.key(), freed: load.freed() };
         let own = PlaceClaimant { vm: &self.options.name, class: rank.class() };
         // A target that sets a limit gives each VM its own share, so no turns are needed.
-        let is_turn = load.limit() != TargetLimit::None
+        let is_turn = load.limit() != LimitShare::Unlimited
             || place_turn::is_turn(self.now, self.sharing.turn_span, slot, own, peers);
         load.free_places(self.now) > 0 && is_turn
     }
@@ -405,7 +405,7 @@
         let hold = self.state.hold.unwrap_or_default();
         if let Some(limits) = &self.limits {
             let first = self.held_until.map_or(Duration::ZERO, |until| until.since(self.now));
-            return first + limit_part::time_for(ahead as usize, limits.iter());
+            return first + limit_share::time_for(ahead as usize, limits.iter());
         }
         let wait = hold.saturating_mul(ahead) / slots.max(1);
         let Some(rank) = rank else { return wait };
@@ -415,7 +415,7 @@
     }
 
     /// Returns the counts of waiting requests that peers receive.
-    pub fn wait_marks(&self) -> Vec<WaitMark> {
+    pub fn queue_reports(&self) -> Vec<QueueReport> {
         let mut marks: BTreeMap<ClaimClass, u16> = BTreeMap::new();
         for work in self.state.line.iter() {
             let rank = work.rank(self.now, self.earliest_first_event(work));
@@ -423,22 +423,22 @@
             *count = count.saturating_add(1);
         }
         let service = self.state.key;
-        marks.into_iter().map(|(class, count)| WaitMark { service, class, count }).collect()
+        marks.into_iter().map(|(class, count)| QueueReport { service, class, count }).collect()
     }
 }
 
 /// Returns this VM's limits for the targets that are not leaving, or `None` unless all of them set
 /// a limit.
-fn limits_of(loads: &[&TargetLoad]) -> Option<Vec<TargetLimit>> {
+fn limits_of(loads: &[&TargetLoad]) -> Option<Vec<LimitShare>> {
     let staying = loads.iter().filter(|load| !load.entry().leaving);
-    let named = |load: &&TargetLoad| Some(load.limit()).filter(|it| *it != TargetLimit::None);
-    let limits = staying.map(named).collect::<Option<Vec<TargetLimit>>>()?;
+    let named = |load: &&TargetLoad| Some(load.limit()).filter(|it| *it != LimitShare::Unlimited);
+    let limits = staying.map(named).collect::<Option<Vec<LimitShare>>>()?;
     (!limits.is_empty()).then_some(limits)
 }
 
 /// Returns when a target's back-off ends; `None` if it accepts requests now.
 fn back_off_end(now: Moment, load: &TargetLoad) -> Option<Moment> {
-    let until = load.health().held_until().max(load.limit().wants_at(now));
+    let until = load.health().held_until().max(load.limit().ready_at(now));
     Some(until).filter(|at| *at > now)
 }
 
--- a/crates/ryetide-core/src/load_digest.rs
+++ b/crates/ryetide-core/src/load_digest.rs
@@ -15,15 +15,15 @@
     pace::PaceReport,
     place_turn::ClaimClass,
     service_rollout::RolloutProgress,
-    target_limit::LimitMark,
-    target_word::LeavingMark,
+    target_limit::LimitReport,
+    target_notice::LeavingReport,
     units::Revision,
-    watch_duty::WatchNote,
+    watcher_selection::WatchReport,
 };
 
 /// One VM's load on one target.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
-pub struct TargetMark {
+pub struct TargetReport {
     /// The target.
     pub target: TargetKey,
     /// Requests dispatched that have not ended.
@@ -39,7 +39,7 @@
 
 /// Queued requests of one service at one VM, in one class of urgency.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct WaitMark {
+pub struct QueueReport {
     /// The service.
     pub service: ServiceKey,
     /// The class of urgency.
@@ -63,7 +63,7 @@
 
 /// How current this VM's routes and targets are, and what only this VM knows.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct FleetNews {
+pub struct FleetState {
     /// The revision of the routes in force.
     pub revision: Revision,
     /// The newest change of the target registry that was received, as the registry's source numbers
@@ -73,10 +73,10 @@
     pub registry_reached: u64,
     /// The positions of the tables that this VM watches; none while it is passive or cannot reach
     /// the source.
-    pub watch: Option<WatchNote>,
+    pub watch: Option<WatchReport>,
     /// Targets that have announced in their answers that they are leaving, where the registry does
     /// not say so.
-    pub leaving_targets: Vec<LeavingMark>,
+    pub leaving_targets: Vec<LeavingReport>,
 }
 
 /// Which part of a VM's state a digest holds.
@@ -112,11 +112,11 @@
     pub registry: u64,
     /// The positions of the tables that the VM watches; none while it is passive or cannot reach
     /// the source.
-    pub watch: Option<WatchNote>,
+    pub watch: Option<WatchReport>,
     /// The VM's load on each target.
-    pub targets: Vec<TargetMark>,
+    pub targets: Vec<TargetReport>,
     /// The VM's queued requests.
-    pub waiting: Vec<WaitMark>,
+    pub waiting: Vec<QueueReport>,
     /// Quota units that the VM has admitted for each organisation since it started.
     pub spent: Vec<(OrganisationKey, u64)>,
     /// The most recent placements of prompts, newest last.
@@ -125,11 +125,11 @@
     pub crashes: CrashUpdate,
     /// Targets that have announced in their answers that they are leaving, where the registry does
     /// not say so.
-    pub leaving_targets: Vec<LeavingMark>,
+    pub leaving_targets: Vec<LeavingReport>,
     /// The progress of rollouts.
     pub rollouts: Vec<RolloutProgress>,
     /// The limits that targets have last announced.
-    pub limits: Vec<LimitMark>,
+    pub limits: Vec<LimitReport>,
 }
 
 /// A digest and the VM that sent it.
--- a/crates/ryetide-core/src/message.rs
+++ b/crates/ryetide-core/src/message.rs
@@ -16,8 +16,8 @@
         DataCentreKey, DataCentreName, Incarnation, OperationId, OrganisationKey, RequestId,
         RequestSequence, ScopeKey, ServiceKey, TargetKey, VmName,
     },
-    target_limit::LimitMark,
-    target_word::LeavingMark,
+    target_limit::LimitReport,
+    target_notice::LeavingReport,
     units::{Revision, TierRank, Tokens},
 };
 
@@ -308,9 +308,9 @@
     /// Reports the requests that ran on targets when they crashed.
     Crashes(CrashUpdate),
     /// Reports targets that announced in their answers that they are leaving.
-    Leaving(Vec<LeavingMark>),
+    Leaving(Vec<LeavingReport>),
     /// Reports the latest rate limits that targets announced in their answers.
-    Limits(Vec<LimitMark>),
+    Limits(Vec<LimitReport>),
 }
 
 /// Encodes `message` as a frame.
--- a/crates/ryetide-core/src/peer_board.rs
+++ b/crates/ryetide-core/src/peer_digests.rs
@@ -5,15 +5,15 @@
 use crate::{
     cell_plan::CellMember,
     ids::{DataCentreName, Incarnation, ServiceKey, VmName},
-    load_digest::{FleetNews, LoadDigest, WaitMark},
+    load_digest::{FleetState, LoadDigest, QueueReport},
     place_turn::{ClaimClass, PlaceClaimant},
     units::{Moment, Revision},
-    watch_duty::WATCH_SPAN,
+    watcher_selection::WATCH_SPAN,
 };
 
 /// A peer is reachable while its last digest is younger than this: the longest interval between two
 /// digests twice, and a margin.
-pub const HEARD_SPAN: Duration = Duration::from_millis(2_500);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A peer whose last digest is older than this no longer counts as serving, and its share of quotas
 /// and limits goes to the others.
 const SERVING_TIMEOUT: Duration = Duration::from_secs(20);
@@ -34,7 +34,7 @@
     registry: u64,
     /// Whether the peer watches the source of routes and targets.
     watches: bool,
-    waiting: Vec<WaitMark>,
+    waiting: Vec<QueueReport>,
 }
 
 /// The effect of applying a digest.
@@ -50,7 +50,7 @@
         silent_for: Duration,
     },
     /// The peer was not known in this incarnation.
-    NewLife,
+    NewIncarnation,
 }
 
 /// Whether this VM's routes and targets are older than those of a reachable peer.
@@ -84,15 +84,15 @@
 
 /// The peers of this VM.
 #[derive(Debug, Default)]
-pub struct PeerBoard {
+pub struct PeerDigests {
     records: BTreeMap<VmName, PeerRecord>,
     /// Peers that are listed and have not sent a digest yet. None before the list has been read.
     unreported: Option<BTreeMap<VmName, ListedPeer>>,
 }
 
-impl PeerBoard {
+impl PeerDigests {
     /// Records what a digest says about the peer itself.
-    pub fn take(&mut self, now: Moment, from: &VmName, digest: &LoadDigest) -> DigestChange {
+    pub fn apply(&mut self, now: Moment, from: &VmName, digest: &LoadDigest) -> DigestChange {
         let known =
             self.records.get(from).filter(|record| record.incarnation == digest.incarnation);
         let change = match known {
@@ -101,11 +101,11 @@
                 placed: record.placed,
                 silent_for: now.since(record.received_at),
             },
-            None => DigestChange::NewLife,
+            None => DigestChange::NewIncarnation,
         };
         let placed = match change {
             DigestChange::Newer { placed, .. } => placed,
-            DigestChange::Stale | DigestChange::NewLife => 0,
+            DigestChange::Stale | DigestChange::NewIncarnation => 0,
         };
         // A digest of changes does not name the data centre. It comes from earlier digests then, or
         // from the list.
@@ -183,21 +183,21 @@
     }
 
     /// Returns whether a peer is reachable and not shutting down, so that it can relay digests.
-    pub fn passes_on(&self, now: Moment, peer: &VmName) -> bool {
+    pub fn is_available(&self, now: Moment, peer: &VmName) -> bool {
         let is_available =
-            |record: &PeerRecord| !record.leaving && now.since(record.received_at) < HEARD_SPAN;
+            |record: &PeerRecord| !record.leaving && now.since(record.received_at) < PEER_TIMEOUT;
         self.records.get(peer).is_some_and(is_available)
     }
 
     /// Returns the share of the serving entry VMs that are reachable, this one included.
-    pub fn heard_part(&self, now: Moment) -> f64 {
+    pub fn reachable_share(&self, now: Moment) -> f64 {
         let reachable = self.reachable(now).filter(|record| !record.leaving).count() + 1;
         reachable as f64 / self.known_count(now) as f64
     }
 
     /// Returns whether reachable peers have newer routes or targets than this VM, whose state is
     /// `state`.
-    pub fn feed_lag(&self, now: Moment, state: FleetNews) -> FeedLag {
+    pub fn feed_lag(&self, now: Moment, state: FleetState) -> FeedLag {
         FeedLag {
             routes: self.reachable(now).any(|record| record.revision > state.revision),
             targets: self.reachable(now).any(|record| record.registry > state.registry_reached),
@@ -231,7 +231,7 @@
     /// Returns the peers with queued requests for a service, each with its most urgent class.
     pub fn claimants(&self, now: Moment, service: ServiceKey) -> Vec<PlaceClaimant<'_>> {
         let reachable =
-            self.records.iter().filter(|(_, record)| now.since(record.received_at) < HEARD_SPAN);
+            self.records.iter().filter(|(_, record)| now.since(record.received_at) < PEER_TIMEOUT);
         let claimants = reachable.filter_map(|(vm, record)| {
             let reports = record.waiting.iter().filter(|report| report.service == service);
             Some(PlaceClaimant { vm, class: reports.map(|report| report.class).min()? })
@@ -249,6 +249,6 @@
     }
 
     fn reachable(&self, now: Moment) -> impl Iterator<Item = &PeerRecord> {
-        self.records.values().filter(move |record| now.since(record.received_at) < HEARD_SPAN)
+        self.records.values().filter(move |record| now.since(record.received_at) < PEER_TIMEOUT)
     }
 }
--- a/crates/ryetide-core/src/quota.rs
+++ b/crates/ryetide-core/src/quota.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     ids::{OrganisationKey, VmName},
-    peer_board::HEARD_SPAN,
+    peer_digests::PEER_TIMEOUT,
     units::Moment,
 };
 
@@ -266,7 +266,7 @@
     ) {
         let first = if self.complete_peers.contains(peer) { 0 } else { total };
         let before = self.peer_totals.insert((peer.clone(), key), total).unwrap_or(first);
-        let counted = HEARD_SPAN.as_secs_f64() / unreachable_for.max(HEARD_SPAN).as_secs_f64();
+        let counted = PEER_TIMEOUT.as_secs_f64() / unreachable_for.max(PEER_TIMEOUT).as_secs_f64();
         let used = total.saturating_sub(before) as f64 * counted;
         match self.buckets.get_mut(&key) {
             Some(bucket) => {
--- a/crates/ryetide-core/src/request.rs
+++ b/crates/ryetide-core/src/request.rs
@@ -11,7 +11,7 @@
     ids::{AttemptNumber, RequestSequence, ScopeKey, TargetKey, VmName},
     message::{RefuseReason, RequestProfile},
     request_fingerprint::RequestFingerprint,
-    target_word::TargetWord,
+    target_notice::TargetNotice,
     units::{ByteSize, Moment},
 };
 
@@ -71,7 +71,7 @@
     /// The target of the request's connections.
     pub route: Option<TargetRoute>,
     /// The notice that the target has sent with its answer.
-    pub notice: TargetWord,
+    pub notice: TargetNotice,
     /// The largest answer to accept.
     pub answer_limit: ByteSize,
     /// Whether the current connection is open.
--- a/crates/ryetide-core/src/rollout_order.rs
+++ b/crates/ryetide-core/src/rollout_order.rs
@@ -31,7 +31,7 @@
 
 impl OrderNumber {
     fn version(self) -> EraVersion {
-        EraVersion::of(self.0)
+        EraVersion::from_packed(self.0)
     }
 
     /// Returns whether this is the number `known` in a later era. When the operators' table is
--- a/crates/ryetide-core/src/route_text.rs
+++ b/crates/ryetide-core/src/route_text.rs
@@ -26,7 +26,7 @@
 use std::{net, time::Duration};
 
 use crate::{
-    ids::{OrganisationName, ServiceName, TargetLife, VersionName},
+    ids::{OrganisationName, ServiceName, TargetIncarnation, VersionName},
     quota::{QuotaRule, QuotaUnit},
     rollout_order::{OrderNumber, RolloutOrder},
     route::{
@@ -215,7 +215,7 @@
         slots: slots? as u32,
         leaving: leaving?,
         warmup: Duration::ZERO,
-        life: TargetLife::default(),
+        incarnation: TargetIncarnation::default(),
     })
 }
 
--- a/crates/ryetide-core/src/scheduler.rs
+++ b/crates/ryetide-core/src/scheduler.rs
@@ -19,24 +19,24 @@
     comeback_time::ComebackTime,
     crash_ledger::{CrashLedger, CrashedRun, QuarantineStatus},
     decision::{Decision, PlacingEvidence, RefusalReason, RunEnd},
-    digest_pace::DigestPace,
-    digest_route::DigestRoute,
-    digest_teller::DigestTeller,
+    digest_route::DigestRouter,
+    digest_timing::DigestTiming,
+    digest_tracker::DigestTracker,
     ids::{RequestSequence, ServiceName, TargetKey, VmName},
     line_view::{LineChoice, LineView, PlaceSharing, ServiceLine, UsedTargets},
-    load_digest::FleetNews,
-    peer_board::{FeedLag, PeerBoard},
+    load_digest::FleetState,
+    peer_digests::{FeedLag, PeerDigests},
     quota::QuotaCharge,
     quota_desk::{QuotaAnswer, QuotaAsk, QuotaDesk, QuotaVerdict},
     request_fingerprint::RequestFingerprint,
     retry_budget::{RetryBudget, RetryRule},
     rollout_manager::{RolloutManager, TargetUse},
     scheduler_options::SchedulerOptions,
-    target_limit::LimitBook,
+    target_limit::LimitTable,
     target_load::{TargetEntry, TargetLoad},
     units::Moment,
     wait_line::WaitingWork,
-    watch_duty::WatchOrder,
+    watcher_selection::WatchOrder,
 };
 
 /// How often the queues are examined while requests wait. The interval is well below the shortest
@@ -53,24 +53,24 @@
     pub(crate) services: BTreeMap<ServiceName, ServiceLine>,
     pub(crate) targets: BTreeMap<TargetKey, TargetLoad>,
     pub(crate) runs: HashMap<RequestSequence, PlacedRun>,
-    pub(crate) peers: PeerBoard,
+    pub(crate) peers: PeerDigests,
     /// The targets that each peer's last digest listed.
-    pub(crate) marked: HashMap<VmName, BTreeSet<TargetKey>>,
+    pub(crate) reported_targets: HashMap<VmName, BTreeSet<TargetKey>>,
     pub(crate) quotas: QuotaDesk,
     quota_results: Vec<QuotaVerdict>,
     retry_budget: RetryBudget,
     pub(crate) crashes: CrashLedger,
-    pub(crate) limits: LimitBook,
+    pub(crate) limits: LimitTable,
     /// When the shares of target limits were last computed; `None` when they must be recomputed.
-    pub(crate) limits_dealt: Option<Moment>,
+    pub(crate) shares_updated_at: Option<Moment>,
     /// Until when a changed limit must reach peers soon.
     pub(crate) limits_fresh_until: Moment,
     /// Whether this VM is shutting down.
     pub(crate) leaving: bool,
     pub(crate) rollouts: RolloutManager,
-    pub(crate) teller: DigestTeller,
-    pub(crate) pace: DigestPace,
-    pub(crate) route: DigestRoute,
+    pub(crate) digest_tracker: DigestTracker,
+    pub(crate) digest_timing: DigestTiming,
+    pub(crate) route: DigestRouter,
     decisions: Vec<Decision>,
     pub(crate) changed: bool,
     pub(crate) plan: CellPlan,
@@ -93,7 +93,7 @@
         let plan = CellPlan::new(&options.member(), &[], &[]);
         Self {
             retry_delay: ComebackTime::new(options.seed),
-            route: DigestRoute::new(options.seed),
+            route: DigestRouter::new(options.seed),
             retry_budget: RetryBudget::new(options.retry),
             rollouts: RolloutManager::new(options.name.clone(), options.rollout),
             options,
@@ -101,17 +101,17 @@
             services: BTreeMap::new(),
             targets: BTreeMap::new(),
             runs: HashMap::new(),
-            peers: PeerBoard::default(),
-            marked: HashMap::new(),
+            peers: PeerDigests::default(),
+            reported_targets: HashMap::new(),
             quotas: QuotaDesk::default(),
             quota_results: Vec::new(),
             crashes: CrashLedger::default(),
-            limits: LimitBook::default(),
-            limits_dealt: None,
+            limits: LimitTable::default(),
+            shares_updated_at: None,
             limits_fresh_until: Moment::default(),
             leaving: false,
-            teller: DigestTeller::default(),
-            pace: DigestPace::direct(0),
+            digest_tracker: DigestTracker::default(),
+            digest_timing: DigestTiming::direct(0),
             decisions: Vec::new(),
             changed: false,
             watch_order: WatchOrder::default(),
@@ -135,7 +135,7 @@
             };
             self.targets.insert(key, load);
         }
-        self.limits_dealt = None;
+        self.shares_updated_at = None;
         self.deal_targets();
         self.plan_cells(now);
         self.advance(now);
@@ -156,8 +156,8 @@
         let deal = |entries: &[&TargetEntry]| {
             let keys = self.plan.targets(entries);
             // A cell without targets of its own uses all of them.
-            let is_dealt = self.plan.deals(entries) && keys.len() < entries.len();
-            UsedTargets { keys, is_dealt }
+            let is_partitioned = self.plan.partitions(entries) && keys.len() < entries.len();
+            UsedTargets { keys, is_partitioned }
         };
         let dealt: Vec<((ServiceName, bool), UsedTargets)> =
             by_use.into_iter().map(|(of, entries)| (of, deal(&entries))).collect();
@@ -169,7 +169,7 @@
             let state = self.service_state(&service);
             *(if on_trial { &mut state.trial } else { &mut state.targets }) = used;
         }
-        self.limits_dealt = None;
+        self.shares_updated_at = None;
     }
 
     /// Recomputes the cells from the reachable VMs and the known targets.
@@ -183,18 +183,18 @@
             self.plan = plan;
             self.deal_targets();
         }
-        let peers = members.iter().filter(|member| self.plan.is_mate(&member.name)).count();
+        let peers = members.iter().filter(|member| self.plan.is_cell_peer(&member.name)).count();
         self.cell_size = u32::try_from(peers).unwrap_or(u32::MAX).saturating_add(1);
     }
 
     /// Returns the minimum time between two digests of this VM.
     pub fn digest_interval(&self) -> Duration {
-        self.pace.interval()
+        self.digest_timing.interval()
     }
 
     /// Whether a peer receives this VM's full digests, being in the same cell.
-    pub fn is_mate(&self, peer: &VmName) -> bool {
-        self.plan.is_mate(peer)
+    pub fn is_cell_peer(&self, peer: &VmName) -> bool {
+        self.plan.is_cell_peer(peer)
     }
 
     /// Whether an organisation has little of its quota left, so that peers should soon receive what
@@ -302,7 +302,7 @@
     /// Records that an assigned request has ended.
     pub fn end(&mut self, now: Moment, ticket: RequestSequence, end: RunEnd) {
         let Some(run) = self.runs.remove(&ticket) else { return };
-        self.teller.note_touched(now, run.target);
+        self.digest_tracker.record_touched(now, run.target);
         if let Some(load) = self.targets.get_mut(&run.target) {
             load.end(now, ticket, end == RunEnd::Whole);
             match end {
@@ -349,27 +349,27 @@
     }
 
     /// Returns which kinds of data are newer at peers than at this VM.
-    pub fn feed_lag(&self, now: Moment, news: FleetNews) -> FeedLag {
+    pub fn feed_lag(&self, now: Moment, news: FleetState) -> FeedLag {
         self.peers.feed_lag(now, news)
     }
 
     /// Whether this VM must itself watch the source of routes and targets. In a small deployment,
     /// every VM does.
     pub fn must_watch(&self, now: Moment) -> bool {
-        let peers = self.peers.watching(now).filter(|peer| self.is_mate(peer));
-        !self.plan.is_dealt() || self.watch_order.is_first(&self.options.name, peers)
+        let peers = self.peers.watching(now).filter(|peer| self.is_cell_peer(peer));
+        !self.plan.is_partitioned() || self.watch_order.is_first(&self.options.name, peers)
     }
 
     /// Whether this VM forwards changes from the source to others, being among the first of the
     /// watching VMs.
     pub fn is_relay(&self, now: Moment) -> bool {
-        let peers = self.peers.watching(now).filter(|peer| self.is_mate(peer));
+        let peers = self.peers.watching(now).filter(|peer| self.is_cell_peer(peer));
         self.watch_order.is_first(&self.options.name, peers)
     }
 
     /// Whether a peer receives routes and targets from other VMs only.
     pub fn relies_on_relays(&self, now: Moment, peer: &VmName) -> bool {
-        self.is_mate(peer) && !self.peers.watching(now).any(|vm| vm == peer)
+        self.is_cell_peer(peer) && !self.peers.watching(now).any(|vm| vm == peer)
     }
 
     /// Returns the ledger of requests that were running when targets crashed.
@@ -426,8 +426,8 @@
     }
 
     /// Returns the share of the entry VMs that this VM can reach.
-    pub fn heard_part(&self, now: Moment) -> f64 {
-        self.peers.heard_part(now)
+    pub fn reachable_share(&self, now: Moment) -> f64 {
+        self.peers.reachable_share(now)
     }
 
     fn service_state(&mut self, service: &ServiceName) -> &mut ServiceLine {
@@ -435,7 +435,7 @@
     }
 
     pub(crate) fn note_peers(&mut self, now: Moment) {
-        self.quotas.ledger_mut().set_heard_part(self.peers.heard_part(now));
+        self.quotas.ledger_mut().set_heard_part(self.peers.reachable_share(now));
         self.retry_budget.set_vm_count(self.peers.known_count(now));
     }
 
@@ -449,7 +449,7 @@
 
     /// Makes all decisions about a service's queue that are possible now.
     fn process_queue(&mut self, now: Moment, service: &ServiceName) {
-        self.deal_limits(now);
+        self.update_limit_shares(now);
         while let Some(choice) = self.view(now, service).and_then(|view| view.next_choice()) {
             match choice {
                 LineChoice::Place { ticket, target, evidence } => {
@@ -472,10 +472,10 @@
         let assumed = self.options.assumed;
         let Some(load) = self.targets.get_mut(&target) else { return };
         load.begin(now, &assumed, ticket, evidence.forecast.to_read);
-        self.teller.note_touched(now, target);
+        self.digest_tracker.record_touched(now, target);
         if let Some(part) = work.part {
             load.memory_mut().note(now, part, work.prompt);
-            self.teller.note_placed(target, part, work.prompt);
+            self.digest_tracker.record_placement(target, part, work.prompt);
         }
         let run = PlacedRun { service: service.clone(), target, since: now, last_event: None };
         self.runs.insert(ticket, run);
@@ -518,7 +518,8 @@
     /// Returns the current view of a service's queue and targets.
     pub(crate) fn view(&self, now: Moment, service: &ServiceName) -> Option<LineView<'_>> {
         let state = self.services.get(service)?;
-        let sharing = PlaceSharing { vms: self.cell_size, turn_span: self.pace.news_span() };
+        let sharing =
+            PlaceSharing { vms: self.cell_size, turn_span: self.digest_timing.propagation_time() };
         let view = LineView::new(now, state, &self.targets, &self.peers, &self.options, sharing);
         if state.trial.keys.is_empty() {
             return Some(view);
--- a/crates/ryetide-core/src/scheduler_digests.rs
+++ b/crates/ryetide-core/src/scheduler_digests.rs
@@ -3,29 +3,29 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use crate::{
-    digest_pace::DigestPace,
     digest_route::{DigestPeer, DigestRecipients},
+    digest_timing::DigestTiming,
     ids::{TargetKey, VmName},
-    load_digest::{DigestEnvelope, DigestScope, FleetNews, LoadDigest, TargetMark},
-    peer_board::{self, DigestChange},
+    load_digest::{DigestEnvelope, DigestScope, FleetState, LoadDigest, TargetReport},
+    peer_digests::{self, DigestChange},
     scheduler::Scheduler,
     units::{Moment, Tokens},
 };
 
 impl Scheduler {
     /// Applies a peer's digest.
-    pub fn take_digest(&mut self, now: Moment, envelope: DigestEnvelope) {
+    pub fn apply_digest(&mut self, now: Moment, envelope: DigestEnvelope) {
         let DigestEnvelope { from, digest } = envelope;
-        let (last_placement, silent_for) = match self.peers.take(now, &from, &digest) {
+        let (last_placement, silent_for) = match self.peers.apply(now, &from, &digest) {
             DigestChange::Stale => return,
             DigestChange::Newer { placed, silent_for } => (placed, silent_for),
-            DigestChange::NewLife => {
+            DigestChange::NewIncarnation => {
                 self.quotas.forget_peer(&from);
                 self.crashes.resend_all(now);
                 (digest.placed.last().map_or(0, |placed| placed.number), Duration::ZERO)
             }
         };
-        if silent_for >= peer_board::HEARD_SPAN {
+        if silent_for >= peer_digests::PEER_TIMEOUT {
             self.crashes.resend_all(now);
         }
         self.crashes.take(now, &digest.crashes);
@@ -34,7 +34,7 @@
                 manager.take_progress(now, &from, digest.incarnation, &digest.rollouts);
             });
         }
-        self.take_limits(now, &digest.limits);
+        self.merge_limit_reports(now, &digest.limits);
         // If the peer was unreachable, the ledger's buckets have grown since by its share of each
         // quota; its spending is charged to the grown buckets.
         self.note_peers(now);
@@ -63,13 +63,13 @@
     fn forget_dropped_reports(&mut self, now: Moment, from: &VmName, digest: &LoadDigest) {
         let reported = digest.targets.iter().map(|report| report.target);
         if digest.scope != DigestScope::Whole {
-            self.marked.entry(from.clone()).or_default().extend(reported);
+            self.reported_targets.entry(from.clone()).or_default().extend(reported);
             return;
         }
         let reported: BTreeSet<TargetKey> = reported.collect();
-        let before = self.marked.get(from).into_iter().flatten();
+        let before = self.reported_targets.get(from).into_iter().flatten();
         let ended: Vec<TargetKey> = before.filter(|key| !reported.contains(key)).copied().collect();
-        self.marked.insert(from.clone(), reported);
+        self.reported_targets.insert(from.clone(), reported);
         for key in &ended {
             if let Some(load) = self.targets.get_mut(key) {
                 load.forget_mark(now, from);
@@ -78,11 +78,11 @@
     }
 
     /// Returns the digest for all peers outside this VM's cell.
-    pub fn brief_digest(&mut self, now: Moment, state: FleetNews, leaving: bool) -> LoadDigest {
+    pub fn brief_digest(&mut self, now: Moment, state: FleetState, leaving: bool) -> LoadDigest {
         self.leaving |= leaving;
         LoadDigest {
             incarnation: self.options.incarnation,
-            sequence: self.teller.next_sequence(),
+            sequence: self.digest_tracker.next_sequence(),
             leaving,
             scope: DigestScope::Brief,
             data_centre: Some(self.options.data_centre.clone()),
@@ -93,46 +93,48 @@
             crashes: self.crashes.own_update(now),
             leaving_targets: state.leaving_targets,
             rollouts: self.rollout_progress(now, true),
-            limits: self.limits.told(now),
+            limits: self.limits.reports(now),
             ..LoadDigest::default()
         }
     }
 
     /// Chooses which of `listed` receive the next digest for this VM's cell.
-    pub fn mate_recipients(&mut self, now: Moment, listed: &[DigestPeer]) -> DigestRecipients {
-        let in_cell = listed.iter().filter(|peer| self.plan.is_mate(&peer.name));
+    pub fn cell_recipients(&mut self, now: Moment, listed: &[DigestPeer]) -> DigestRecipients {
+        let in_cell = listed.iter().filter(|peer| self.plan.is_cell_peer(&peer.name));
         let in_cell: Vec<DigestPeer> = in_cell.cloned().collect();
         let peers = &self.peers;
-        let recipients = self.route.draw_mates(&in_cell, |vm| peers.passes_on(now, vm));
+        let recipients = self.route.choose_in_cell(&in_cell, |vm| peers.is_available(now, vm));
         let is_relayed = !recipients.relays.is_empty();
-        self.pace =
-            if is_relayed { DigestPace::passed_on() } else { DigestPace::direct(in_cell.len()) };
+        self.digest_timing =
+            if is_relayed { DigestTiming::relayed() } else { DigestTiming::direct(in_cell.len()) };
         recipients
     }
 
     /// Chooses which of `listed` receive the next brief digest, which is meant for every peer
     /// outside this VM's cell.
-    pub fn other_recipients(&mut self, now: Moment, listed: &[DigestPeer]) -> DigestRecipients {
-        let others = listed.iter().filter(|peer| !self.plan.is_mate(&peer.name));
+    pub fn outside_recipients(&mut self, now: Moment, listed: &[DigestPeer]) -> DigestRecipients {
+        let others = listed.iter().filter(|peer| !self.plan.is_cell_peer(&peer.name));
         let others: Vec<DigestPeer> = others.cloned().collect();
         let peers = &self.peers;
-        self.route.draw_others(&self.options.data_centre, &others, |vm| peers.passes_on(now, vm))
+        self.route
+            .choose_outside(&self.options.data_centre, &others, |vm| peers.is_available(now, vm))
     }
 
     /// Returns the digest for the peers in this VM's cell: periodically a full one, in between one
     /// with the recent changes.
-    pub fn digest(&mut self, now: Moment, state: FleetNews, leaving: bool) -> LoadDigest {
+    pub fn digest(&mut self, now: Moment, state: FleetState, leaving: bool) -> LoadDigest {
         let brief = self.brief_digest(now, state, leaving);
         let views = self.services.keys().filter_map(|name| self.view(now, name));
-        let waiting = views.flat_map(|view| view.wait_marks()).collect();
-        let scope = self.teller.next_scope(now, self.pace.change_span(), leaving);
-        let placed = self.teller.placed(scope);
+        let waiting = views.flat_map(|view| view.queue_reports()).collect();
+        let scope = self.digest_tracker.next_scope(now, self.digest_timing.repeat_span(), leaving);
+        let placed = self.digest_tracker.placed(scope);
         if scope == DigestScope::Changes {
-            let span = self.pace.change_span();
+            let span = self.digest_timing.repeat_span();
             let spent = self.quotas.ledger().totals_since(now.before(span)).collect();
-            let touched = self.teller.touched();
+            let touched = self.digest_tracker.touched();
             let changed = touched.iter().filter_map(|key| self.targets.get(key));
-            let targets = changed.map(|load| TargetMark { pace: None, ..load.mark(now) }).collect();
+            let targets =
+                changed.map(|load| TargetReport { pace: None, ..load.mark(now) }).collect();
             let (data_centre, crashes) = (None, self.crashes.recent_update(now, span));
             let changes = LoadDigest { scope, data_centre, targets, waiting, ..brief };
             let rollouts = self.rollout_progress(now, false);
--- a/crates/ryetide-core/src/scheduler_limits.rs
+++ b/crates/ryetide-core/src/scheduler_limits.rs
@@ -7,10 +7,10 @@
 
 use crate::{
     ids::{TargetKey, VmName},
-    limit_part::{self, TargetLimit},
+    limit_share::{self, LimitShare},
     scheduler::Scheduler,
-    target_limit::LimitMark,
-    target_word::LimitWord,
+    target_limit::LimitReport,
+    target_notice::LimitNotice,
     units::{Moment, RequestRate},
 };
 
@@ -28,25 +28,25 @@
 
     /// Records what an answer says about its target's limit. The request was sent at `sent_at`.
     /// Returns whether the limit in force has changed.
-    pub fn note_limit(
+    pub fn record_limit(
         &mut self,
         now: Moment,
         target: TargetKey,
-        notice: LimitWord,
+        notice: LimitNotice,
         sent_at: Moment,
     ) -> bool {
-        let is_new = self.limits.note(now, target, notice, sent_at);
+        let is_new = self.limits.record(now, target, notice, sent_at);
         if is_new {
             self.limits_fresh_until = now + FAST_REPORT_SPAN;
             self.limit_changed();
-            self.deal_limits(now);
+            self.update_limit_shares(now);
         }
         is_new
     }
 
     /// Records peers' reports on limits.
-    pub(crate) fn take_limits(&mut self, now: Moment, reports: &[LimitMark]) {
-        let new = reports.iter().filter(|report| self.limits.take(now, **report)).count();
+    pub(crate) fn merge_limit_reports(&mut self, now: Moment, reports: &[LimitReport]) {
+        let new = reports.iter().filter(|report| self.limits.merge(now, **report)).count();
         if new > 0 {
             self.limit_changed();
         }
@@ -63,26 +63,26 @@
     }
 
     fn limit_changed(&mut self) {
-        self.limits_dealt = None;
+        self.shares_updated_at = None;
         self.changed = true;
     }
 
     /// Computes this VM's share of each limit.
-    pub(crate) fn deal_limits(&mut self, now: Moment) {
+    pub(crate) fn update_limit_shares(&mut self, now: Moment) {
         let is_due = |at: Moment| now.since(at) >= SHARE_INTERVAL;
-        if self.limits.is_empty() || !self.limits_dealt.is_none_or(is_due) {
+        if self.limits.is_empty() || !self.shares_updated_at.is_none_or(is_due) {
             return;
         }
-        self.limits_dealt = Some(now);
+        self.shares_updated_at = Some(now);
         let targets = &self.targets;
-        self.limits.age(now, |target| targets.contains_key(&target));
+        self.limits.expire(now, |target| targets.contains_key(&target));
         let mut shares = self.limit_shares(now);
         for (key, load) in &mut self.targets {
             match shares.remove(key) {
                 Some(rate) => load.limit_mut().set(now, rate),
                 // A target that this VM does not use belongs to another cell. If it returns to this
                 // one, its share starts anew.
-                None => *load.limit_mut() = TargetLimit::None,
+                None => *load.limit_mut() = LimitShare::Unlimited,
             }
         }
     }
@@ -93,7 +93,7 @@
         let (all, cell) = (self.known_vms(now), self.cell_vms(now));
         let groups = self.services.values().flat_map(|state| [&state.targets, &state.trial]);
         let shares = groups.flat_map(|used| {
-            let vms = if used.is_dealt { &cell } else { &all };
+            let vms = if used.is_partitioned { &cell } else { &all };
             used.keys.iter().filter_map(|key| {
                 let rate = self.limits.rate(*key)?;
                 Some((*key, self.share_of(now, *key, rate, vms.as_deref())))
@@ -118,8 +118,8 @@
             return Some(rate.per_second() / self.peers.known_count(now) as f64);
         };
         // Unreachable VMs may see other VMs as reachable, and compute other shares.
-        let reachable_share = self.peers.heard_part(now);
-        Some(limit_part::rate_of(rate, target, &self.options.name, vms)? * reachable_share)
+        let reachable_share = self.peers.reachable_share(now);
+        Some(limit_share::rate_of(rate, target, &self.options.name, vms)? * reachable_share)
     }
 
     /// Returns the serving VMs, this one included.
@@ -135,7 +135,7 @@
             self.peers.members(now).into_iter().map(|member| member.name).collect();
         let own = &self.options.name;
         let may_be_in_cell =
-            |vm: &&VmName| *vm == own || self.plan.is_mate(vm) || !members.contains(*vm);
+            |vm: &&VmName| *vm == own || self.plan.is_cell_peer(vm) || !members.contains(*vm);
         Some(self.known_vms(now)?.into_iter().filter(may_be_in_cell).collect())
     }
 }
--- a/crates/ryetide-core/src/scheduler_rollouts.rs
+++ b/crates/ryetide-core/src/scheduler_rollouts.rs
@@ -58,7 +58,7 @@
             return Vec::new();
         }
         let members = self.peers.members(now).into_iter().map(|member| member.name);
-        let heard: Vec<VmName> = members.filter(|vm| self.peers.passes_on(now, vm)).collect();
+        let heard: Vec<VmName> = members.filter(|vm| self.peers.is_available(now, vm)).collect();
         self.rollouts.duties(now, &heard)
     }
 
@@ -94,7 +94,7 @@
 
     /// Returns how much of the fleet this VM hears from.
     pub(crate) fn fleet_reachability(&self, now: Moment) -> FleetReachability {
-        let reachable_share = self.peers.heard_part(now);
+        let reachable_share = self.peers.reachable_share(now);
         FleetReachability { reachable_share, vms: self.peers.known_count(now) }
     }
 }
--- a/crates/ryetide-core/src/target_estimate.rs
+++ b/crates/ryetide-core/src/target_estimate.rs
@@ -12,8 +12,8 @@
     chart::{self, TargetEvent, TargetState},
     event::LoadReport,
     ids::TargetKey,
-    limit_part::TargetLimit,
-    target_word,
+    limit_share::LimitShare,
+    target_notice,
     units::{Moment, TokenRate, Tokens},
 };
 
@@ -43,7 +43,7 @@
     /// The end of the back-off that the target has requested.
     backed_off_until: Moment,
     /// This arbiter's share of the target's rate limit.
-    limit: TargetLimit,
+    limit: LimitShare,
     /// The number of consecutive failed connections.
     failures: u32,
     /// The number of granted slots that were not released.
@@ -73,7 +73,7 @@
             state: chart::target().initial(),
             pause_until: Moment::default(),
             backed_off_until: Moment::default(),
-            limit: TargetLimit::None,
+            limit: LimitShare::Unlimited,
             failures: 0,
             running: 0,
             reserved: Tokens(0),
@@ -152,22 +152,22 @@
     /// never shorten it.
     pub fn back_off(&mut self, now: Moment, span: Duration) {
         self.backed_off_until =
-            self.backed_off_until.max(now + span.min(target_word::LONGEST_HOLD_OFF));
+            self.backed_off_until.max(now + span.min(target_notice::LONGEST_HOLD_OFF));
     }
 
     /// Returns this arbiter's share of the target's rate limit.
-    pub fn limit(&self) -> &TargetLimit {
+    pub fn limit(&self) -> &LimitShare {
         &self.limit
     }
 
     /// Returns this arbiter's share of the target's rate limit for modification.
-    pub fn limit_mut(&mut self) -> &mut TargetLimit {
+    pub fn limit_mut(&mut self) -> &mut LimitShare {
         &mut self.limit
     }
 
     /// Returns the time until which the target's back-off and rate limit permit no request.
     pub fn backed_off_until(&self, now: Moment) -> Moment {
-        self.backed_off_until.max(self.limit.wants_at(now))
+        self.backed_off_until.max(self.limit.ready_at(now))
     }
 
     /// Returns when a target that is suspect, backed off or rate-limited may be used again, or
--- a/crates/ryetide-core/src/target_health.rs
+++ b/crates/ryetide-core/src/target_health.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::{target_word, units::Moment};
+use crate::{target_notice, units::Moment};
 
 /// The pause after a first failure to connect; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(200);
@@ -59,7 +59,7 @@
     /// Records that the target requested back-off for `span`. Since the target requested it itself,
     /// nothing received meanwhile, not even successful answers, ends the back-off sooner.
     pub fn hold_off(&mut self, now: Moment, span: Duration) {
-        self.held_until = self.held_until.max(now + span.min(target_word::LONGEST_HOLD_OFF));
+        self.held_until = self.held_until.max(now + span.min(target_notice::LONGEST_HOLD_OFF));
     }
 
     /// Returns when the target's requested back-off ends.
--- a/crates/ryetide-core/src/target_limit.rs
+++ b/crates/ryetide-core/src/target_limit.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     ids::TargetKey,
-    target_word::LimitWord,
+    target_notice::LimitNotice,
     units::{Moment, RequestRate},
 };
 
@@ -26,7 +26,7 @@
 
 /// A target's latest announcement of its limit, as VMs report it to each other.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct LimitMark {
+pub struct LimitReport {
     /// The target.
     pub target: TargetKey,
     /// The requests a second that the target accepts; none when it announces no limit any more.
@@ -48,49 +48,51 @@
 /// ```
 /// use ryetide_core::{
 ///     ids::TargetKey,
-///     target_limit::LimitBook,
-///     target_word::LimitWord,
+///     target_limit::LimitTable,
+///     target_notice::LimitNotice,
 ///     units::{Moment, RequestRate},
 /// };
 ///
 /// let (target, at) = (TargetKey::of(&"t1".into()), Moment::from_millis);
-/// let mut table = LimitBook::default();
-/// assert!(table.note(at(20), target, LimitWord::Named(RequestRate(1_900)), at(10)));
+/// let mut table = LimitTable::default();
+/// assert!(table.record(at(20), target, LimitNotice::Named(RequestRate(1_900)), at(10)));
 /// assert_eq!(table.rate(target), Some(RequestRate(1_900)));
 /// // The answer to a request that was sent before the announcement does not end the limit.
-/// assert!(!table.note(at(30), target, LimitWord::Unnamed, at(15)));
-/// assert!(table.note(at(50), target, LimitWord::Unnamed, at(40)));
+/// assert!(!table.record(at(30), target, LimitNotice::Unnamed, at(15)));
+/// assert!(table.record(at(50), target, LimitNotice::Unnamed, at(40)));
 /// assert_eq!(table.rate(target), None);
 /// ```
 #[derive(Debug, Default)]
-pub struct LimitBook {
+pub struct LimitTable {
     records: BTreeMap<TargetKey, LimitRecord>,
 }
 
-impl LimitBook {
+impl LimitTable {
     /// Records what an answer says about its target's limit. The request was sent at `sent_at`.
     /// Returns whether the limit in force has changed.
     ///
     /// An answer without a limit ends a limit only if its request was sent after the limit was
     /// received, because answers on several connections can overtake each other.
-    pub fn note(
+    pub fn record(
         &mut self,
         now: Moment,
         target: TargetKey,
-        notice: LimitWord,
+        notice: LimitNotice,
         sent_at: Moment,
     ) -> bool {
         let known = self.records.get(&target);
         let rate = match notice {
-            LimitWord::Named(rate) => Some(rate),
-            LimitWord::Unnamed if known.is_some_and(|record| sent_at > record.announced_at) => None,
-            LimitWord::Unnamed | LimitWord::Unreadable => return false,
+            LimitNotice::Named(rate) => Some(rate),
+            LimitNotice::Unnamed if known.is_some_and(|record| sent_at > record.announced_at) => {
+                None
+            }
+            LimitNotice::Unnamed | LimitNotice::Unreadable => return false,
         };
         self.insert(target, LimitRecord { rate, announced_at: now })
     }
 
     /// Records a peer's report. Returns whether the limit in force has changed.
-    pub fn take(&mut self, now: Moment, report: LimitMark) -> bool {
+    pub fn merge(&mut self, now: Moment, report: LimitReport) -> bool {
         let announced_at = now.before(Duration::from_millis(u64::from(report.age_ms)));
         let is_newer = self
             .records
@@ -126,13 +128,13 @@
     }
 
     /// Returns the reports for peers.
-    pub fn told(&self, now: Moment) -> Vec<LimitMark> {
+    pub fn reports(&self, now: Moment) -> Vec<LimitReport> {
         let mut records: Vec<(&TargetKey, &LimitRecord)> = self.records.iter().collect();
         records.sort_by_key(|(_, record)| std::cmp::Reverse(record.announced_at));
         let report = |(target, record): (&TargetKey, &LimitRecord)| {
             let age_ms =
                 u32::try_from(now.since(record.announced_at).as_millis()).unwrap_or(u32::MAX);
-            LimitMark { target: *target, rate: record.rate, age_ms }
+            LimitReport { target: *target, rate: record.rate, age_ms }
         };
         records.into_iter().take(REPORTED_LIMIT).map(report).collect()
     }
@@ -140,7 +142,7 @@
     /// Drops expired announcements. The limit of an existing target stays in force until the target
     /// announces otherwise: if all VMs dropped it at the same time, each of them would exceed it
     /// until it received the limit again.
-    pub fn age(&mut self, now: Moment, exists: impl Fn(TargetKey) -> bool) {
+    pub fn expire(&mut self, now: Moment, exists: impl Fn(TargetKey) -> bool) {
         self.records.retain(|target, record| match record.rate {
             Some(_) if exists(*target) => true,
             Some(_) => now.since(record.announced_at) < ABSENT_TARGET_TTL,
--- a/crates/ryetide-core/src/target_load.rs
+++ b/crates/ryetide-core/src/target_load.rs
@@ -9,11 +9,11 @@
 
 use crate::{
     ids::{
-        DataCentreName, RequestSequence, ServiceName, TargetKey, TargetLife, TargetName,
+        DataCentreName, RequestSequence, ServiceName, TargetIncarnation, TargetKey, TargetName,
         VersionName, VmName,
     },
-    limit_part::TargetLimit,
-    load_digest::TargetMark,
+    limit_share::LimitShare,
+    load_digest::TargetReport,
     pace::{AssumedPace, PaceEstimate, TargetPace},
     place_turn::{FreedPlace, PlaceGiver},
     prompt_memory::PromptMemory,
@@ -40,7 +40,7 @@
     /// The target's name.
     pub name: TargetName,
     /// The incarnation of the target that has this name now.
-    pub life: TargetLife,
+    pub incarnation: TargetIncarnation,
     /// The service that the target belongs to.
     pub service: ServiceName,
     /// The version of the target's software.
@@ -60,7 +60,7 @@
 impl TargetEntry {
     /// Returns the key of this incarnation of the target.
     pub fn key(&self) -> TargetKey {
-        TargetKey::of_life(&self.name, self.life)
+        TargetKey::of_incarnation(&self.name, self.incarnation)
     }
 }
 
@@ -99,10 +99,10 @@
     health: TargetHealth,
     memory: PromptMemory,
     runs: HashMap<RequestSequence, OwnRun>,
-    reports: BTreeMap<VmName, (Moment, TargetMark)>,
+    reports: BTreeMap<VmName, (Moment, TargetReport)>,
     answer_time: Duration,
     freed: FreedPlace,
-    limit: TargetLimit,
+    limit: LimitShare,
 }
 
 impl TargetLoad {
@@ -119,7 +119,7 @@
             reports: BTreeMap::new(),
             answer_time: ASSUMED_ANSWER_TIME,
             freed: FreedPlace { at: now, by: PlaceGiver::Nobody },
-            limit: TargetLimit::None,
+            limit: LimitShare::Unlimited,
         }
     }
 
@@ -224,12 +224,12 @@
     }
 
     /// Returns this VM's share of the target's limit.
-    pub fn limit(&self) -> TargetLimit {
+    pub fn limit(&self) -> LimitShare {
         self.limit
     }
 
     /// Returns the limit, to change it.
-    pub fn limit_mut(&mut self) -> &mut TargetLimit {
+    pub fn limit_mut(&mut self) -> &mut LimitShare {
         &mut self.limit
     }
 
@@ -289,7 +289,7 @@
     }
 
     /// Stores a peer's report about the target.
-    pub fn take_mark(&mut self, now: Moment, peer: &VmName, mut mark: TargetMark) {
+    pub fn take_mark(&mut self, now: Moment, peer: &VmName, mut mark: TargetReport) {
         let earlier = self.reports.get(peer).and_then(|(_, before)| before.pace);
         mark.pace = mark.pace.or(earlier);
         let before = self.reports.insert(peer.clone(), (now, mark));
@@ -306,7 +306,7 @@
         &mut self,
         now: Moment,
         peer: &VmName,
-        before: Option<(Moment, TargetMark)>,
+        before: Option<(Moment, TargetReport)>,
         running: u16,
     ) {
         if before.is_some_and(|(_, mark)| mark.running > running) {
@@ -322,9 +322,9 @@
     }
 
     /// Returns this VM's report about the target for its peers.
-    pub fn mark(&self, now: Moment) -> TargetMark {
+    pub fn mark(&self, now: Moment) -> TargetReport {
         let unread: u64 = self.runs.values().map(|run| run.unread(now)).sum();
-        TargetMark {
+        TargetReport {
             target: self.key,
             running: u16::try_from(self.runs.len()).unwrap_or(u16::MAX),
             unread: u32::try_from(unread).unwrap_or(u32::MAX),
@@ -333,7 +333,7 @@
         }
     }
 
-    fn valid_reports(&self, now: Moment) -> impl Iterator<Item = &TargetMark> {
+    fn valid_reports(&self, now: Moment) -> impl Iterator<Item = &TargetReport> {
         let valid = self.reports.values().filter(move |(at, _)| now.since(*at) < REPORT_TTL);
         valid.map(|(_, mark)| mark)
     }
--- a/crates/ryetide-core/src/target_word.rs
+++ b/crates/ryetide-core/src/target_notice.rs
@@ -27,19 +27,19 @@
 
 /// The notices in one answer of a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct TargetWord {
+pub struct TargetNotice {
     /// Whether the target is leaving.
     pub leaving: bool,
     /// For this long the target asks this VM to send it no requests.
     pub hold_off: Option<Duration>,
     /// The request rate limit that the target announces.
-    pub limit: LimitWord,
+    pub limit: LimitNotice,
 }
 
 /// What one answer says about the target's limit: the requests a second that it accepts from all
 /// VMs together.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub enum LimitWord {
+pub enum LimitNotice {
     /// The answer announces no limit.
     #[default]
     Unnamed,
@@ -49,7 +49,7 @@
     Unreadable,
 }
 
-impl LimitWord {
+impl LimitNotice {
     /// Reads the values of the header that announces a limit. The lowest of several applies.
     pub fn read<'a>(values: impl Iterator<Item = Option<&'a str>>) -> Self {
         let mut notice = Self::Unnamed;
@@ -74,7 +74,7 @@
     }
 }
 
-impl TargetWord {
+impl TargetNotice {
     /// Returns whether there is no notice.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -83,7 +83,7 @@
 
 /// A target that has announced that it is leaving, as VMs report it to each other.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct LeavingMark {
+pub struct LeavingReport {
     /// The target.
     pub target: TargetKey,
     /// How much longer the notice is remembered, in milliseconds.
@@ -92,22 +92,22 @@
 
 /// The targets that have announced that they are leaving, and until when each notice is remembered.
 #[derive(Debug, Default)]
-pub struct LeavingWords {
+pub struct LeavingNotices {
     expiries: BTreeMap<TargetKey, Moment>,
 }
 
-impl LeavingWords {
+impl LeavingNotices {
     /// Records that a target has told this VM that it is leaving; returns whether that is new.
-    pub fn note(&mut self, now: Moment, target: TargetKey) -> bool {
+    pub fn record(&mut self, now: Moment, target: TargetKey) -> bool {
         self.insert(target, now + NOTICE_TTL)
     }
 
     /// Records a peer's report; returns whether that is new. A repeated report does not extend the
     /// time for which a notice is remembered, because VMs would then keep the notice alive between
     /// them forever.
-    pub fn take(&mut self, now: Moment, report: LeavingMark) -> bool {
+    pub fn merge(&mut self, now: Moment, report: LeavingReport) -> bool {
         let left = Duration::from_millis(u64::from(report.left_ms)).min(NOTICE_TTL);
-        !left.is_zero() && !self.holds(report.target) && self.insert(report.target, now + left)
+        !left.is_zero() && !self.contains(report.target) && self.insert(report.target, now + left)
     }
 
     fn insert(&mut self, target: TargetKey, until: Moment) -> bool {
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether a target has announced that it is leaving.
-    pub fn holds(&self, target: TargetKey) -> bool {
+    pub fn contains(&self, target: TargetKey) -> bool {
         self.expiries.contains_key(&target)
     }
 
@@ -137,22 +137,22 @@
     }
 
     /// Drops expired notices, and returns their targets.
-    pub fn age(&mut self, now: Moment) -> Vec<TargetKey> {
+    pub fn expire(&mut self, now: Moment) -> Vec<TargetKey> {
         let expired = self.expiries.extract_if(.., |_, until| *until <= now);
         expired.map(|(target, _)| target).collect()
     }
 
     /// Returns the reports for peers: the targets among `unregistered` that have announced that
     /// they are leaving. `unregistered` are those whose registry entries do not say so.
-    pub fn told(
+    pub fn reports(
         &self,
         now: Moment,
         unregistered: impl Iterator<Item = TargetKey>,
-    ) -> Vec<LeavingMark> {
+    ) -> Vec<LeavingReport> {
         let report = |target: TargetKey| {
             let left = self.expiries.get(&target)?.since(now);
             let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-            Some(LeavingMark { target, left_ms })
+            Some(LeavingReport { target, left_ms })
         };
         unregistered.filter_map(report).take(REPORTED_LIMIT).collect()
     }
--- a/crates/ryetide-core/src/target_registry.rs
+++ b/crates/ryetide-core/src/target_registry.rs
@@ -9,9 +9,9 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::{
-    ids::{TargetKey, TargetLife, TargetName},
+    ids::{TargetIncarnation, TargetKey, TargetName},
     target_load::TargetEntry,
-    target_word::{LeavingMark, LeavingWords},
+    target_notice::{LeavingNotices, LeavingReport},
     units::Moment,
 };
 
@@ -25,7 +25,7 @@
 /// than the 3 s that are permitted after the end of its entry. A VM that was cut off reaches the
 /// source again within about a second, so its period ends within the 3 s after the cut in which
 /// late removals are still permitted.
-pub const DOUBT_SPAN: Duration = Duration::from_millis(1_600);
+pub const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(1_600);
 /// The number of target names whose last incarnation is remembered, at some 60 bytes each. Names
 /// come and go for as long as a VM runs; beyond this number only those of existing targets are
 /// kept.
@@ -65,7 +65,7 @@
     SourceBack,
     /// The peer that forwards updates has recovered from a loss of the source: for this much
     /// longer, missing entries may belong to live targets.
-    SourceDoubtful(Duration),
+    MissingEntryGrace(Duration),
     /// The source was restored from a copy that is some seconds old. Its next updates may be older
     /// than what is known, until the targets have written their entries again.
     SourceRestored,
@@ -106,9 +106,9 @@
 pub struct TargetRegistry {
     targets: BTreeMap<TargetName, RegisteredTarget>,
     /// The last known incarnation of each name, also of removed targets.
-    incarnations: BTreeMap<TargetName, TargetLife>,
+    incarnations: BTreeMap<TargetName, TargetIncarnation>,
     /// Targets that have announced that they are leaving.
-    leaving_notices: LeavingWords,
+    leaving_notices: LeavingNotices,
     /// Recently removed targets, and when they were removed.
     removed: BTreeMap<TargetKey, Moment>,
     /// Targets that were removed before the source was restored from a copy. Until the given
@@ -148,21 +148,23 @@
             RegistryUpdate::SourceLost => self.is_lost = true,
             RegistryUpdate::SourceBack => {
                 if std::mem::take(&mut self.is_lost) {
-                    self.extend_grace(now, DOUBT_SPAN);
+                    self.extend_grace(now, MISSING_ENTRY_GRACE);
                 }
             }
-            RegistryUpdate::SourceDoubtful(left) => self.extend_grace(now, left.min(DOUBT_SPAN)),
+            RegistryUpdate::MissingEntryGrace(left) => {
+                self.extend_grace(now, left.min(MISSING_ENTRY_GRACE))
+            }
             RegistryUpdate::SourceRestored => self.prepare_for_copy(now),
         }
     }
 
     /// Records the number of the newest change that was received.
-    pub fn note_newest(&mut self, number: u64) {
+    pub fn record_newest(&mut self, number: u64) {
         self.newest = self.newest.max(number);
     }
 
     /// Records the number up to which the source has no changes that were not received.
-    pub fn note_reached(&mut self, number: u64) {
+    pub fn record_reached(&mut self, number: u64) {
         self.reached = self.reached.max(number);
     }
 
@@ -189,45 +191,45 @@
         let ended: Vec<RegisteredTarget> =
             self.targets.extract_if(.., |_, target| is_over(target)).map(|(_, it)| it).collect();
         ended.iter().for_each(|target| self.record_removed(now, target.entry.key()));
-        self.leaving_notices.age(now);
+        self.leaving_notices.expire(now);
         self.targets.values().map(|target| self.with_announcement(&target.entry)).collect()
     }
 
     /// Returns the announcements of leaving targets, for recording more of them.
-    pub fn words_mut(&mut self) -> &mut LeavingWords {
+    pub fn leaving_notices_mut(&mut self) -> &mut LeavingNotices {
         &mut self.leaving_notices
     }
 
     /// Returns the targets that have announced that they are leaving, and whose entries do not say
     /// so.
-    pub fn leaving_by_word(&self, now: Moment) -> Vec<LeavingMark> {
+    pub fn unregistered_leaving(&self, now: Moment) -> Vec<LeavingReport> {
         let entries = self.targets.values().map(|target| &target.entry);
         let unregistered = entries.filter(|entry| !entry.leaving).map(TargetEntry::key);
-        self.leaving_notices.told(now, unregistered)
+        self.leaving_notices.reports(now, unregistered)
     }
 
     /// Merges the announcement of a target into its entry. An entry that the source read before the
     /// announcement does not revoke it.
     fn with_announcement(&self, entry: &TargetEntry) -> TargetEntry {
-        let leaving = entry.leaving || self.leaving_notices.holds(entry.key());
+        let leaving = entry.leaving || self.leaving_notices.contains(entry.key());
         TargetEntry { leaving, ..entry.clone() }
     }
 
     /// Returns the targets that are kept though their entries are missing.
-    pub fn kept(&self) -> impl Iterator<Item = &TargetName> {
-        let kept = self.targets.iter().filter(|(_, target)| target.grace_end.is_some());
-        kept.map(|(name, _)| name)
+    pub fn in_grace(&self) -> impl Iterator<Item = &TargetName> {
+        let in_grace = self.targets.iter().filter(|(_, target)| target.grace_end.is_some());
+        in_grace.map(|(name, _)| name)
     }
 
     /// Returns when the last grace period of a target with a missing entry ends.
-    pub fn last_lapse(&self) -> Option<Moment> {
+    pub fn last_grace_end(&self) -> Option<Moment> {
         self.targets.values().filter_map(|target| target.grace_end).max()
     }
 
     /// Returns whether a later incarnation of a target is known: this one has ended, and all of its
     /// requests with it.
     pub fn is_replaced(&self, entry: &TargetEntry) -> bool {
-        self.incarnations.get(&entry.name).is_some_and(|last| *last > entry.life)
+        self.incarnations.get(&entry.name).is_some_and(|last| *last > entry.incarnation)
     }
 
     /// Drops targets whose entries were overwritten with something unreadable. Such an entry names
@@ -245,7 +247,7 @@
         if self.is_replaced(entry) {
             return false;
         }
-        self.incarnations.insert(entry.name.clone(), entry.life);
+        self.incarnations.insert(entry.name.clone(), entry.incarnation);
         if self.incarnations.len() > INCARNATIONS_LIMIT {
             let targets = &self.targets;
             self.incarnations.retain(|name, _| targets.contains_key(name) || *name == entry.name);
@@ -262,7 +264,8 @@
             self.targets.insert(target.entry.name.clone(), target);
         }
         // While the source is unreachable, only peers report removed entries.
-        let grace_until = if self.is_lost { Some(now + DOUBT_SPAN) } else { self.grace_until };
+        let grace_until =
+            if self.is_lost { Some(now + MISSING_ENTRY_GRACE) } else { self.grace_until };
         let grace_until = grace_until.filter(|until| now < *until);
         for name in gone {
             let Some(target) = self.targets.get_mut(name) else { continue };
@@ -279,7 +282,7 @@
     fn prepare_for_copy(&mut self, now: Moment) {
         let leaving = self.targets.values().filter(|target| target.entry.leaving);
         for target in leaving {
-            self.leaving_notices.note(now, target.entry.key());
+            self.leaving_notices.record(now, target.entry.key());
         }
         let recent = self.removed.iter().filter(|(_, at)| now.since(**at) < REMOVED_RETENTION);
         self.ignored_until.extend(recent.map(|(key, _)| (*key, now + RESTORED_ENTRY_SPAN)));
--- a/crates/ryetide-core/src/watch_duty.rs
+++ b/crates/ryetide-core/src/watcher_selection.rs
@@ -29,7 +29,7 @@
 
 /// How far a VM has read one table, in the numbers that the table's source gives to changes.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct FeedMark {
+pub struct FeedPosition {
     /// The number of the newest change.
     pub changed: u64,
     /// The number up to which the table has no other changes.
@@ -38,11 +38,11 @@
 
 /// What a watching VM reports to its peers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct WatchNote {
+pub struct WatchReport {
     /// The position in the operators' routes.
-    pub routes: FeedMark,
+    pub routes: FeedPosition,
     /// The position in the targets.
-    pub targets: FeedMark,
+    pub targets: FeedPosition,
 }
 
 /// The order in which the VMs of a cell are selected to watch.
@@ -62,7 +62,7 @@
     /// # Example
     ///
     /// ```
-    /// use ryetide_core::{ids::VmName, units::LinkRate, watch_duty::{WATCHER_COUNT, WatchOrder}};
+    /// use ryetide_core::{ids::VmName, units::LinkRate, watcher_selection::{WATCHER_COUNT, WatchOrder}};
     ///
     /// let names: Vec<VmName> = ["e1", "e2", "e3", "e4"].map(VmName::from).into();
     /// let order = WatchOrder::new([(names[2].clone(), LinkRate(1_000))]);
--- a/crates/ryetide-core/tests/cell_plan.rs
+++ b/crates/ryetide-core/tests/cell_plan.rs
@@ -24,7 +24,7 @@
 fn targets(count: usize) -> Vec<TargetEntry> {
     let entry = |index: usize| TargetEntry {
         name: format!("t{index}").as_str().into(),
-        life: Default::default(),
+        incarnation: Default::default(),
         version: "v1".into(),
         service: "drafting".into(),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -53,7 +53,7 @@
 fn a_small_deployment_is_one_cell() {
     let all = members(9);
     let plan = plan_of(0, &all, &[]);
-    assert!(all[1..].iter().all(|member| plan.is_mate(&member.name)));
+    assert!(all[1..].iter().all(|member| plan.is_cell_peer(&member.name)));
     assert!(uses(&all, &targets(12)).iter().all(|used| used.len() == 12));
 }
 
@@ -77,7 +77,7 @@
     }
     for own in 0..all.len() {
         for peer in (0..all.len()).filter(|peer| *peer != own) {
-            let same_cell = plans[own].is_mate(&all[peer].name);
+            let same_cell = plans[own].is_cell_peer(&all[peer].name);
             assert_eq!(same_cell, uses[own] == uses[peer], "{own} and {peer}");
         }
     }
@@ -124,7 +124,7 @@
             let plan = plan_of(own, &all, &refs);
             let is_shared = |peer: &usize| !uses[own].is_disjoint(&uses[*peer]);
             let outside = (0..vms).filter(|peer| *peer != own).filter(is_shared);
-            let outside = outside.filter(|peer| !plan.is_mate(&all[*peer].name)).count();
+            let outside = outside.filter(|peer| !plan.is_cell_peer(&all[*peer].name)).count();
             assert_eq!(outside, 0, "{vms} VMs, {target_count} targets, VM {own}");
         }
     }
--- a/crates/ryetide-core/tests/fleet_digests.rs
+++ b/crates/ryetide-core/tests/fleet_digests.rs
@@ -28,7 +28,7 @@
     });
     let entry = |name: &&str| TargetEntry {
         name: (*name).into(),
-        life: Default::default(),
+        incarnation: Default::default(),
         version: "v1".into(),
         service: "drafting".into(),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -57,7 +57,7 @@
 }
 
 fn count_cell_peers(scheduler: &Scheduler, listed: &[CellMember]) -> usize {
-    listed.iter().filter(|peer| scheduler.is_mate(&peer.name)).count()
+    listed.iter().filter(|peer| scheduler.is_cell_peer(&peer.name)).count()
 }
 
 /// Guards against fleets that never recover from a restart of all VMs at once. No VM has received a
@@ -85,7 +85,7 @@
         let cell_peers = count_cell_peers(&scheduler, &listed) as f64;
         assert!(cell_peers >= (size / 3 - 1) as f64, "{cell_peers} of {size} in the cell");
         let peers: Vec<DigestPeer> = listed.iter().map(small_peer).collect();
-        assert_eq!(scheduler.mate_recipients(Moment(1), &peers).direct.len(), cell_peers as usize);
+        assert_eq!(scheduler.cell_recipients(Moment(1), &peers).direct.len(), cell_peers as usize);
         let received = cell_peers / scheduler.digest_interval().as_secs_f64();
         assert!(received.floor() <= 7.0 / 0.006, "{size} VMs: {received} digests a second");
     }
@@ -101,13 +101,13 @@
     let relays = ["e3", "e6"];
     for (name, leaving) in [("e3", true), ("e6", false)] {
         let digest = LoadDigest { sequence: 1, leaving, ..LoadDigest::default() };
-        scheduler.take_digest(Moment(2), DigestEnvelope { from: name.into(), digest });
+        scheduler.apply_digest(Moment(2), DigestEnvelope { from: name.into(), digest });
     }
     let mut peers: Vec<DigestPeer> = listed.iter().map(small_peer).collect();
     for peer in peers.iter_mut().filter(|peer| relays.contains(&peer.name.as_str())) {
         peer.link = LinkRate(1_000);
     }
     for _ in 0..20 {
-        assert_eq!(scheduler.mate_recipients(Moment(3), &peers).relays, ["e6".into()]);
+        assert_eq!(scheduler.cell_recipients(Moment(3), &peers).relays, ["e6".into()]);
     }
 }
--- a/crates/ryetide-core/tests/quota.rs
+++ b/crates/ryetide-core/tests/quota.rs
@@ -5,7 +5,7 @@
 use ryetide_core::{
     cell_plan::CellMember,
     ids::{OrganisationKey, ServiceName, VmName},
-    peer_board::PeerBoard,
+    peer_digests::PeerDigests,
     quota::{QuotaCharge, QuotaLedger, QuotaRule, QuotaUnit},
     retry_budget::{RetryBudget, RetryRule},
     units::Moment,
@@ -94,11 +94,11 @@
     let listed: Vec<CellMember> = (0..8).map(member).collect();
     let mut admitted = 0;
     for _ in 0..9 {
-        let mut board = PeerBoard::default();
+        let mut peers = PeerDigests::default();
         let mut ledger = QuotaLedger::default();
         let start = Moment::from_millis(1);
-        board.list(start, &listed);
-        ledger.set_heard_part(board.heard_part(start));
+        peers.list(start, &listed);
+        ledger.set_heard_part(peers.reachable_share(start));
         for step in 0..100_u64 {
             let now = Moment::from_millis(1 + step * 10);
             admitted += u64::from(ledger.take(now, &RULE, charge(10)).is_ok()) * 10;
--- a/crates/ryetide-core/tests/rollout/fleet.rs
+++ b/crates/ryetide-core/tests/rollout/fleet.rs
@@ -35,7 +35,7 @@
     };
     TargetEntry {
         name: format!("{letter}{index}").as_str().into(),
-        life: Default::default(),
+        incarnation: Default::default(),
         version: version.into(),
         service: service(),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
--- a/crates/ryetide-core/tests/rollout/versions.rs
+++ b/crates/ryetide-core/tests/rollout/versions.rs
@@ -185,7 +185,7 @@
 
 /// Returns the number of an order in an era of the operators' table.
 fn in_era(era: u64, number: u64) -> u64 {
-    EraVersion { era, number }.joined()
+    EraVersion { era, number }.to_packed()
 }
 
 /// Returns a manager with a completed order of the first era.
--- a/crates/ryetide-core/tests/scheduler.rs
+++ b/crates/ryetide-core/tests/scheduler.rs
@@ -4,8 +4,8 @@
 
 use ryetide_core::{
     decision::{Decision, RefusalReason, RunEnd},
-    ids::{Incarnation, RequestSequence, ServiceKey, ServiceName, TargetKey, TargetLife},
-    load_digest::{DigestEnvelope, DigestScope, FleetNews, LoadDigest, TargetMark, WaitMark},
+    ids::{Incarnation, RequestSequence, ServiceKey, ServiceName, TargetIncarnation, TargetKey},
+    load_digest::{DigestEnvelope, DigestScope, FleetState, LoadDigest, QueueReport, TargetReport},
     pace::{AssumedPace, FadingMean, PaceReport},
     place_turn::ClaimClass,
     retry_budget::RetryRule,
@@ -26,7 +26,7 @@
 fn target(name: &str, slots: u32) -> TargetEntry {
     TargetEntry {
         name: name.into(),
-        life: Default::default(),
+        incarnation: Default::default(),
         version: "v1".into(),
         service: SERVICE.into(),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -120,7 +120,7 @@
 
     fn receive_from(&mut self, peer: &str, now: Moment, sequence: u64, digest: LoadDigest) {
         let digest = LoadDigest { incarnation: Incarnation(2), sequence, ..digest };
-        self.scheduler.take_digest(now, DigestEnvelope { from: peer.into(), digest });
+        self.scheduler.apply_digest(now, DigestEnvelope { from: peer.into(), digest });
     }
 }
 
@@ -130,9 +130,9 @@
 
 /// A peer's report about a target, with the speed in microseconds per prompt token and between
 /// events.
-fn mark(name: &str, running: u16, prompt: f32, event: f32) -> TargetMark {
+fn mark(name: &str, running: u16, prompt: f32, event: f32) -> TargetReport {
     let figure = |mean| FadingMean { mean, weight: 6.0 };
-    TargetMark {
+    TargetReport {
         target: TargetKey::of(&name.into()),
         running,
         unread: 0,
@@ -141,10 +141,10 @@
     }
 }
 
-fn waiting(tier: u8, count: u16) -> WaitMark {
+fn waiting(tier: u8, count: u16) -> QueueReport {
     let service = ServiceKey::of(&ServiceName::from(SERVICE));
     let tier = TierRank(tier);
-    WaitMark { service, class: ClaimClass { late: false, tier, route_tier: tier }, count }
+    QueueReport { service, class: ClaimClass { late: false, tier, route_tier: tier }, count }
 }
 
 #[test]
@@ -345,7 +345,7 @@
     let targets = [("t1", 2), ("t2", 2), ("t3", 2)];
     let (mut sender, mut peer) = (Harness::new(&targets), Harness::new(&targets));
     let send =
-        |sender: &mut Harness, now| sender.scheduler.digest(now, FleetNews::default(), false);
+        |sender: &mut Harness, now| sender.scheduler.digest(now, FleetState::default(), false);
     for _ in 0..6 {
         sender.enter(at(0), 0, 100);
     }
@@ -445,7 +445,7 @@
     harness.receive(at(11), 1, busy.clone());
     let waiting = harness.enter(at(12), 0, 100);
     assert_eq!(harness.placed(), [], "the target is paused and full");
-    let restarted = TargetEntry { life: TargetLife(9), ..target("t1", 2) };
+    let restarted = TargetEntry { incarnation: TargetIncarnation(9), ..target("t1", 2) };
     harness.scheduler.set_targets(at(20), vec![restarted]);
     harness.receive(at(21), 2, busy);
     harness.scheduler.advance(at(25));
@@ -463,7 +463,7 @@
         .scheduler
         .enter(at(0), WaitingWork { excluded: key_of("t2"), ..work(1, at(0), 0, 100) });
     detecting.scheduler.end(at(0), RequestSequence(1), RunEnd::Unreachable);
-    let digest = detecting.scheduler.digest(at(0), FleetNews::default(), false);
+    let digest = detecting.scheduler.digest(at(0), FleetState::default(), false);
     let mut harness = Harness::new(&targets);
     harness.receive(at(0), 1, digest);
     harness.enter(at(1), 0, 100);
--- a/crates/ryetide-core/tests/scheduler_load/load_simulation.rs
+++ b/crates/ryetide-core/tests/scheduler_load/load_simulation.rs
@@ -18,7 +18,7 @@
     decision::{Decision, RunEnd},
     digest_route::DigestPeer,
     ids::{Incarnation, RequestSequence, VmName},
-    load_digest::{DigestEnvelope, FleetNews, LoadDigest},
+    load_digest::{DigestEnvelope, FleetState, LoadDigest},
     pace::AssumedPace,
     retry_budget::RetryRule,
     scheduler::Scheduler,
@@ -183,7 +183,7 @@
         let engines: BTreeMap<String, EngineState> = names.collect();
         let entry = |name: &String| TargetEntry {
             name: name.as_str().into(),
-            life: Default::default(),
+            incarnation: Default::default(),
             version: "v1".into(),
             service: "drafting".into(),
             address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -212,7 +212,7 @@
             let others = (0..count).filter(|other| *other != index).map(member);
             scheduler.list_peers(Moment(1), &others.collect::<Vec<_>>());
             let peers: Vec<DigestPeer> = (0..count).filter(|it| *it != index).map(peer).collect();
-            scheduler.mate_recipients(Moment(1), &peers);
+            scheduler.cell_recipients(Moment(1), &peers);
             let trackers = Default::default();
             SimVm { scheduler, sent_at: 0, in_transit: None, is_sending: false, trackers }
         };
@@ -286,18 +286,18 @@
                 let sender = &mut self.vms[vm];
                 (sender.is_sending, sender.sent_at) = (false, now);
                 sender.in_transit =
-                    Some(sender.scheduler.digest(Moment(now), FleetNews::default(), false));
+                    Some(sender.scheduler.digest(Moment(now), FleetState::default(), false));
                 self.schedule(now + DIGEST_TRAVEL, SimEvent::Receive(vm));
             }
             SimEvent::Receive(vm) => {
                 let Some(digest) = self.vms[vm].in_transit.take() else { return };
                 let envelope = DigestEnvelope { from: vm_name(vm), digest };
                 let is_recipient = |other: &usize| {
-                    self.vms[vm].scheduler.is_mate(&vm_name(*other)) && *other != vm
+                    self.vms[vm].scheduler.is_cell_peer(&vm_name(*other)) && *other != vm
                 };
                 let recipients: Vec<usize> = (0..self.vms.len()).filter(is_recipient).collect();
                 for other in recipients {
-                    self.vms[other].scheduler.take_digest(Moment(now), envelope.clone());
+                    self.vms[other].scheduler.apply_digest(Moment(now), envelope.clone());
                 }
             }
         }
--- a/crates/ryetide-core/tests/target_limit/arbiters.rs
+++ b/crates/ryetide-core/tests/target_limit/arbiters.rs
@@ -12,7 +12,7 @@
     },
     ids::{AttemptNumber, DataCentreName, Incarnation, RequestSequence, TargetKey, VmName},
     message::PeerMessage,
-    target_word::{LimitWord, TargetWord},
+    target_notice::{LimitNotice, TargetNotice},
     units::{Moment, RequestRate, Tokens},
 };
 
@@ -153,9 +153,9 @@
 
 /// The target's answer, last event first.
 fn target_answers(sequence: RequestSequence, attempt: AttemptNumber) -> [Event; 3] {
-    let notice = TargetWord {
-        limit: LimitWord::Named(RequestRate(LIMIT as u32 * 1_000)),
-        ..TargetWord::default()
+    let notice = TargetNotice {
+        limit: LimitNotice::Named(RequestRate(LIMIT as u32 * 1_000)),
+        ..TargetNotice::default()
     };
     let target = TargetKey::of(&"r1".into());
     let head = AnswerHead { status: 200, content_type: String::new() };
--- a/crates/ryetide-core/tests/target_limit/fleet.rs
+++ b/crates/ryetide-core/tests/target_limit/fleet.rs
@@ -7,13 +7,13 @@
     cell_plan::CellMember,
     decision::{Decision, RunEnd},
     ids::{Incarnation, RequestSequence, TargetKey},
-    load_digest::{DigestEnvelope, FleetNews, LoadDigest},
+    load_digest::{DigestEnvelope, FleetState, LoadDigest},
     pace::AssumedPace,
     retry_budget::RetryRule,
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
     target_load::TargetEntry,
-    target_word::LimitWord,
+    target_notice::LimitNotice,
     units::{Moment, RequestRate, TierRank, Tokens},
     wait_line::WaitingWork,
 };
@@ -60,9 +60,9 @@
 impl SimulatedLimit {
     pub const NONE: Self = Self { rate: None, from: Moment(0), until: Moment(0) };
 
-    fn notice(&self, now: Moment) -> LimitWord {
+    fn notice(&self, now: Moment) -> LimitNotice {
         let is_announced = self.from <= now && now < self.until;
-        self.rate.filter(|_| is_announced).map_or(LimitWord::Unnamed, LimitWord::Named)
+        self.rate.filter(|_| is_announced).map_or(LimitNotice::Unnamed, LimitNotice::Named)
     }
 }
 
@@ -127,7 +127,7 @@
 fn entry(target: usize) -> TargetEntry {
     TargetEntry {
         name: format!("t{target}").as_str().into(),
-        life: Default::default(),
+        incarnation: Default::default(),
         version: "v1".into(),
         service: "desk".into(),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -279,10 +279,10 @@
             if vm.started != answer.started {
                 continue;
             }
-            if notice != LimitWord::Unnamed {
+            if notice != LimitNotice::Unnamed {
                 vm.limit_seen.entry(answer.target).or_insert(now);
             }
-            vm.scheduler.note_limit(now, target_key(answer.target), notice, answer.sent_at);
+            vm.scheduler.record_limit(now, target_key(answer.target), notice, answer.sent_at);
             vm.scheduler.end(now, answer.ticket, RunEnd::Whole);
             self.apply_decisions(answer.vm);
         }
@@ -294,7 +294,7 @@
         let is_due = now.since(vm.last_digest) >= FULL_INTERVAL || vm.scheduler.take_changed();
         if is_due && now.since(vm.last_digest) >= vm.scheduler.digest_interval() {
             vm.last_digest = now;
-            let digest = vm.scheduler.digest(now, FleetNews::default(), false);
+            let digest = vm.scheduler.digest(now, FleetState::default(), false);
             self.send(from, &digest, true);
         }
         let vm = &mut self.vms[from];
@@ -303,14 +303,14 @@
         if now.since(vm.last_brief_digest) >= interval {
             vm.last_brief_digest = now;
             vm.scheduler.plan_cells(now);
-            let digest = vm.scheduler.brief_digest(now, FleetNews::default(), false);
+            let digest = vm.scheduler.brief_digest(now, FleetState::default(), false);
             self.send(from, &digest, false);
         }
     }
 
     fn send(&mut self, from: usize, digest: &LoadDigest, to_cell: bool) {
         for to in (0..self.vms.len()).filter(|to| *to != from) {
-            let in_cell = self.vms[from].scheduler.is_mate(&member(to).name);
+            let in_cell = self.vms[from].scheduler.is_cell_peer(&member(to).name);
             let is_lost = self.rng.random_ratio(1, LOSS_INVERSE);
             if in_cell != to_cell || is_lost || self.is_partitioned(from, to) {
                 continue;
@@ -335,7 +335,7 @@
         for (_, from, to, envelope) in due {
             let is_current = envelope.digest.incarnation == Incarnation(self.vms[from].started.0);
             if is_current {
-                self.vms[to].scheduler.take_digest(now, envelope);
+                self.vms[to].scheduler.apply_digest(now, envelope);
                 self.apply_decisions(to);
             }
         }
--- a/crates/ryetide-core/tests/target_word.rs
+++ b/crates/ryetide-core/tests/target_notice.rs
@@ -10,8 +10,8 @@
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
     target_load::TargetEntry,
+    target_notice::LimitNotice,
     target_registry::{RegistryUpdate, TargetRegistry},
-    target_word::LimitWord,
     units::{Moment, RequestRate, TierRank, Tokens},
     wait_line::WaitingWork,
 };
@@ -26,7 +26,7 @@
 fn entry(name: &str) -> TargetEntry {
     TargetEntry {
         name: name.into(),
-        life: Default::default(),
+        incarnation: Default::default(),
         version: "v1".into(),
         service: "desk".into(),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -49,15 +49,18 @@
 fn an_older_entry_does_not_revoke_a_notice_of_leaving() {
     let mut registry = TargetRegistry::default();
     registry.take(at(1), RegistryUpdate::whole(vec![entry("a"), entry("b")]));
-    assert!(registry.words_mut().note(at(2), entry("a").key()));
-    assert!(!registry.words_mut().note(at(3), entry("a").key()), "only the first notice is new");
+    assert!(registry.leaving_notices_mut().record(at(2), entry("a").key()));
+    assert!(
+        !registry.leaving_notices_mut().record(at(3), entry("a").key()),
+        "only the first notice is new"
+    );
     for (time, entries) in [(4, vec!["a", "b"]), (5, vec!["b"]), (6, vec!["a", "b"])] {
         let entries = entries.into_iter().map(entry).collect();
         registry.take(at(time), RegistryUpdate::whole(entries));
         registry.current(at(time));
     }
     assert_eq!(leaving(&mut registry, at(7)), ["a"]);
-    let reports = registry.leaving_by_word(at(7));
+    let reports = registry.unregistered_leaving(at(7));
     assert!(matches!(reports[..], [mark] if mark.target == entry("a").key()), "{reports:?}");
 }
 
@@ -67,8 +70,8 @@
     let mut registry = TargetRegistry::default();
     let announced = TargetEntry { leaving: true, ..entry("a") };
     registry.take(at(1), RegistryUpdate::whole(vec![announced]));
-    registry.words_mut().note(at(2), entry("a").key());
-    assert!(registry.leaving_by_word(at(3)).is_empty());
+    registry.leaving_notices_mut().record(at(2), entry("a").key());
+    assert!(registry.unregistered_leaving(at(3)).is_empty());
 }
 
 /// Guards against notices that VMs keep alive by reporting them to each other. Where targets keep
@@ -79,14 +82,14 @@
     for registry in [&mut here, &mut there] {
         registry.take(at(1), RegistryUpdate::whole(vec![entry("a")]));
     }
-    here.words_mut().note(at(2), entry("a").key());
+    here.leaving_notices_mut().record(at(2), entry("a").key());
     for second in 1..1_300 {
         let now = at(second * 1_000);
-        for mark in here.leaving_by_word(now) {
-            there.words_mut().take(now + NETWORK_DELAY, mark);
+        for mark in here.unregistered_leaving(now) {
+            there.leaving_notices_mut().merge(now + NETWORK_DELAY, mark);
         }
-        for mark in there.leaving_by_word(now) {
-            here.words_mut().take(now + NETWORK_DELAY, mark);
+        for mark in there.unregistered_leaving(now) {
+            here.leaving_notices_mut().merge(now + NETWORK_DELAY, mark);
         }
         here.current(now);
         there.current(now);
@@ -100,9 +103,10 @@
 fn notices_are_bounded() {
     let mut registry = TargetRegistry::default();
     for target in 0..10_000 {
-        registry.words_mut().note(at(u64::from(target)), TargetKey(target));
+        registry.leaving_notices_mut().record(at(u64::from(target)), TargetKey(target));
     }
-    let known = (0..10_000).filter(|it| registry.words_mut().holds(TargetKey(*it))).count();
+    let known =
+        (0..10_000).filter(|it| registry.leaving_notices_mut().contains(TargetKey(*it))).count();
     assert!(known <= 1_024, "{known} notices are remembered");
 }
 
@@ -110,19 +114,19 @@
 /// lowest of several applies.
 #[test]
 fn limit_headers_are_parsed() {
-    let read = |values: &[&str]| LimitWord::read(values.iter().map(|value| Some(*value)));
-    let named = |thousandths| LimitWord::Named(RequestRate(thousandths));
-    assert_eq!(read(&[]), LimitWord::Unnamed);
+    let read = |values: &[&str]| LimitNotice::read(values.iter().map(|value| Some(*value)));
+    let named = |thousandths| LimitNotice::Named(RequestRate(thousandths));
+    assert_eq!(read(&[]), LimitNotice::Unnamed);
     assert_eq!(read(&["1.9"]), named(1_900));
     assert_eq!(read(&[" 0 "]), named(0));
     assert_eq!(read(&["0.0009"]), named(0));
     assert_eq!(read(&["1e300"]), named(u32::MAX));
     assert_eq!(read(&["3", "1.5", "2"]), named(1_500));
     for unreadable in ["", "soon", "-1", "NaN", "inf"] {
-        assert_eq!(read(&[unreadable]), LimitWord::Unreadable, "{unreadable:?}");
-        assert_eq!(read(&["2", unreadable]), LimitWord::Unreadable, "{unreadable:?}");
+        assert_eq!(read(&[unreadable]), LimitNotice::Unreadable, "{unreadable:?}");
+        assert_eq!(read(&["2", unreadable]), LimitNotice::Unreadable, "{unreadable:?}");
     }
-    assert_eq!(LimitWord::read([None].into_iter()), LimitWord::Unreadable, "no text");
+    assert_eq!(LimitNotice::read([None].into_iter()), LimitNotice::Unreadable, "no text");
 }
 
 fn scheduler(names: &[&str]) -> Scheduler {
--- a/crates/ryetide-core/tests/target_registry.rs
+++ b/crates/ryetide-core/tests/target_registry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ryetide_core::{
-    ids::TargetLife,
+    ids::TargetIncarnation,
     target_load::TargetEntry,
     target_registry::{RegistryUpdate, TargetRegistry},
     units::Moment,
@@ -12,7 +12,7 @@
 fn entry(name: &str) -> TargetEntry {
     TargetEntry {
         name: name.into(),
-        life: Default::default(),
+        incarnation: Default::default(),
         version: "v1".into(),
         service: "desk".into(),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -86,7 +86,7 @@
 #[test]
 fn a_reported_grace_period_is_not_extended() {
     let mut registry = with_two();
-    let left = |millis| RegistryUpdate::SourceDoubtful(Duration::from_millis(millis));
+    let left = |millis| RegistryUpdate::MissingEntryGrace(Duration::from_millis(millis));
     registry.take(Moment::from_millis(1_000), left(300));
     registry.take(Moment::from_millis(1_000), gone("a"));
     registry.take(Moment::from_millis(1_200), left(100));
@@ -109,7 +109,7 @@
 
 fn incarnation(name: &str, started: u64, port: u16) -> TargetEntry {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    TargetEntry { life: TargetLife(started), address, ..entry(name) }
+    TargetEntry { incarnation: TargetIncarnation(started), address, ..entry(name) }
 }
 
 fn ports(registry: &mut TargetRegistry) -> Vec<u16> {
--- a/crates/ryetide-core/tests/watch_duty.rs
+++ b/crates/ryetide-core/tests/watcher_selection.rs
@@ -5,13 +5,13 @@
 use ryetide_core::{
     cell_plan::CellMember,
     ids::{Incarnation, VmName},
-    load_digest::{DigestEnvelope, FleetNews},
+    load_digest::{DigestEnvelope, FleetState},
     pace::AssumedPace,
     retry_budget::RetryRule,
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
     units::{LinkRate, Moment},
-    watch_duty::{WATCHER_COUNT, WatchNote, WatchOrder},
+    watcher_selection::{WATCHER_COUNT, WatchOrder, WatchReport},
 };
 
 /// The interval between two digests of an idle VM.
@@ -57,13 +57,13 @@
                 continue;
             }
             let watches = scheduler.must_watch(now) && !self.without_source.contains(name);
-            let watch = watches.then(WatchNote::default);
-            let news = FleetNews { watch, ..FleetNews::default() };
+            let watch = watches.then(WatchReport::default);
+            let news = FleetState { watch, ..FleetState::default() };
             let (from, digest) = (name.clone(), scheduler.digest(now, news, false));
             for (name, scheduler) in &mut self.vms {
                 if *name != from {
                     let envelope = DigestEnvelope { from: from.clone(), digest: digest.clone() };
-                    scheduler.take_digest(now, envelope);
+                    scheduler.apply_digest(now, envelope);
                 }
             }
         }
--- a/crates/ryetide-gateway/src/decision_log.rs
+++ b/crates/ryetide-gateway/src/decision_log.rs
@@ -12,7 +12,7 @@
     ids::{OrganisationName, RequestSequence, VmName},
     request_fingerprint::RequestFingerprint,
     target_load::TargetEntry,
-    target_word::TargetWord,
+    target_notice::TargetNotice,
     units::{RequestRate, Revision},
 };
 use tokio::time::Instant;
@@ -101,7 +101,7 @@
             print = %request.fingerprint,
             route = request.route,
             target = %target.name,
-            life = %target.life,
+            life = %target.incarnation,
             version = %target.version,
             %revision,
             waited_ms = millis(waited),
@@ -208,7 +208,7 @@
     }
 
     /// An answer says something of its target.
-    pub fn word(&self, request: &LogId<'_>, target: &TargetEntry, word: TargetWord) {
+    pub fn word(&self, request: &LogId<'_>, target: &TargetEntry, word: TargetNotice) {
         if self.permits() {
             tracing::info!(
                 event = "target-word",
--- a/crates/ryetide-gateway/src/digest_relay.rs
+++ b/crates/ryetide-gateway/src/digest_relay.rs
@@ -8,7 +8,7 @@
 use std::{cell::RefCell, rc::Rc};
 
 use bytes::Bytes;
-use ryetide_core::{digest_pace, ids::DataCentreName, load_digest::DigestScope};
+use ryetide_core::{digest_timing, ids::DataCentreName, load_digest::DigestScope};
 use tokio::{
     sync::Notify,
     time::{self, Instant},
@@ -63,11 +63,11 @@
     let mut passed = Instant::now();
     loop {
         link.relay().bell.notified().await;
-        time::sleep_until(passed + digest_pace::RELAY_INTERVAL).await;
+        time::sleep_until(passed + digest_timing::RELAY_INTERVAL).await;
         passed = Instant::now();
         let WaitingDigests { to_mates, to_centre } = link.relay().waiting.take();
         send(&gateway, &link, to_mates, |peer, _| {
-            gateway.hub().peek(|scheduler| scheduler.is_mate(&peer.name))
+            gateway.hub().peek(|scheduler| scheduler.is_cell_peer(&peer.name))
         });
         send(&gateway, &link, to_centre, |peer, own| peer.data_centre == *own);
     }
--- a/crates/ryetide-gateway/src/exchange.rs
+++ b/crates/ryetide-gateway/src/exchange.rs
@@ -206,7 +206,7 @@
                 Ok(())
             }
             Err(wait) => {
-                let heard_part = self.gateway.heard_part();
+                let heard_part = self.gateway.reachable_share();
                 self.gateway.log().over_quota(&self.log_id(), &holder.name, heard_part, wait);
                 Err(OwnAnswer::new(OwnReason::OverQuota).with_retry(wait))
             }
--- a/crates/ryetide-gateway/src/feed_relay.rs
+++ b/crates/ryetide-gateway/src/feed_relay.rs
@@ -1,6 +1,6 @@
 //! Changes of the store's tables, passed on from the VMs that watch it to those that rest on them.
 //!
-//! [`ryetide_core::watch_duty`] decides who watches. What is passed on are the rows themselves, so that every VM
+//! [`ryetide_core::watcher_selection`] decides who watches. What is passed on are the rows themselves, so that every VM
 //! decodes them as if it had asked. Each change tells from which version it follows: a VM that has missed one
 //! asks the store. The same serves a VM that has lost the store while its peers have not.
 
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use ryetide_core::{
     era_version::EraVersion,
-    watch_duty::{FeedMark, WatchNote},
+    watcher_selection::{FeedPosition, WatchReport},
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::{broadcast, mpsc, watch};
@@ -57,10 +57,10 @@
     heard: broadcast::Sender<Rc<RelayedChange>>,
     told: mpsc::Sender<RelayedChange>,
     /// How far the peers that watch have come.
-    peers: Cell<WatchNote>,
+    peers: Cell<WatchReport>,
     /// How far this VM's own watch has come; nothing of a table that it does not watch.
-    own_routes: Cell<Option<FeedMark>>,
-    own_targets: Cell<Option<FeedMark>>,
+    own_routes: Cell<Option<FeedPosition>>,
+    own_targets: Cell<Option<FeedPosition>>,
     outage: StoreOutage,
     /// The latest era of the store that any table was read in.
     era: Cell<u64>,
@@ -101,13 +101,13 @@
 
     /// Notes the era of a version that was read.
     pub fn note_era(&self, version: u64) {
-        self.era.set(self.era.get().max(EraVersion::of(version).era));
+        self.era.set(self.era.get().max(EraVersion::from_packed(version).era));
     }
 
     /// Returns whether a version is of an era before the store came back from a copy. Asked for changes since, the store
     /// would not know that, and wait for one.
     pub fn is_of_past(&self, version: u64) -> bool {
-        EraVersion::of(version).era < self.era.get()
+        EraVersion::from_packed(version).era < self.era.get()
     }
 
     /// Takes a change that a peer has passed on.
@@ -122,7 +122,7 @@
     }
 
     /// Notes how far a peer's watch has come.
-    pub fn note_peer(&self, note: &WatchNote) {
+    pub fn note_peer(&self, note: &WatchReport) {
         let mut peers = self.peers.get();
         peers.routes = peers.routes.max(note.routes);
         peers.targets = peers.targets.max(note.targets);
@@ -130,18 +130,18 @@
     }
 
     /// Returns how far the peers that watch a table have come.
-    pub fn peer_mark(&self, table: FleetTable) -> FeedMark {
+    pub fn peer_mark(&self, table: FleetTable) -> FeedPosition {
         match table {
             FleetTable::Routes => self.peers.get().routes,
             FleetTable::Targets => self.peers.get().targets,
             FleetTable::Vms | FleetTable::RolloutWords | FleetTable::RolloutNotes => {
-                FeedMark::default()
+                FeedPosition::default()
             }
         }
     }
 
     /// Notes how far this VM's own watch of a table has come; nothing when it does not watch it.
-    pub fn note_own(&self, table: FleetTable, mark: Option<FeedMark>) {
+    pub fn note_own(&self, table: FleetTable, mark: Option<FeedPosition>) {
         match table {
             FleetTable::Routes => self.own_routes.set(mark),
             FleetTable::Targets => self.own_targets.set(mark),
@@ -150,8 +150,8 @@
     }
 
     /// Returns what peers are told of this VM's watch.
-    pub fn watch_note(&self) -> Option<WatchNote> {
-        Some(WatchNote { routes: self.own_routes.get()?, targets: self.own_targets.get()? })
+    pub fn watch_note(&self) -> Option<WatchReport> {
+        Some(WatchReport { routes: self.own_routes.get()?, targets: self.own_targets.get()? })
     }
 
     /// Passes a change on.
--- a/crates/ryetide-gateway/src/feed_watch.rs
+++ b/crates/ryetide-gateway/src/feed_watch.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use ryetide_core::peer_board::FeedLag;
+use ryetide_core::peer_digests::FeedLag;
 
 use crate::store_table::FleetTable;
 
@@ -57,7 +57,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ryetide_core::peer_board::FeedLag;
+/// use ryetide_core::peer_digests::FeedLag;
 /// use ryetide_gateway::{feed_watch::{FeedPauses, FeedWatch}, store_table::FleetTable};
 ///
 /// let mut watch = FeedWatch::new(FeedPauses::default(), Duration::from_millis(200));
--- a/crates/ryetide-gateway/src/fleet_duties.rs
+++ b/crates/ryetide-gateway/src/fleet_duties.rs
@@ -8,10 +8,10 @@
     era_version::EraVersion,
     ids::VmName,
     load_digest::LoadDigest,
-    peer_board::FeedLag,
+    peer_digests::FeedLag,
     scheduler::Scheduler,
     units::Moment,
-    watch_duty::WatchOrder,
+    watcher_selection::WatchOrder,
 };
 use tokio::{
     sync::mpsc,
@@ -71,12 +71,12 @@
             FleetUpdate::Targets(update, newest) => {
                 let now = gateway.hub().clock().now();
                 gateway.fleet().registry().borrow_mut().take(now, update);
-                gateway.fleet().registry().borrow_mut().note_newest(newest);
+                gateway.fleet().registry().borrow_mut().record_newest(newest);
                 log_kept(gateway, now);
                 refresh_targets(gateway);
             }
             FleetUpdate::TargetsReached(number) => {
-                gateway.fleet().registry().borrow_mut().note_reached(number);
+                gateway.fleet().registry().borrow_mut().record_reached(number);
             }
             FleetUpdate::Orders(orders) => {
                 for order in orders {
@@ -219,10 +219,10 @@
 /// Tells which targets get work though their entries are missing, and for how long yet at the most.
 fn log_kept(gateway: &Gateway, now: Moment) {
     let registry = gateway.fleet().registry().borrow();
-    let kept = NameList(registry.kept().cloned().collect());
-    let Some(until) = registry.last_lapse() else { return };
+    let kept = NameList(registry.in_grace().cloned().collect());
+    let Some(until) = registry.last_grace_end() else { return };
     let left_ms = until.since(now).as_millis();
-    tracing::info!(event = "targets-kept", version = %EraVersion::of(registry.newest()), left_ms, kept = %kept);
+    tracing::info!(event = "targets-kept", version = %EraVersion::from_packed(registry.newest()), left_ms, kept = %kept);
 }
 
 /// Lets the scheduler know which targets there are now, and which of them leave.
@@ -230,7 +230,7 @@
     let now = gateway.hub().clock().now();
     let Some((targets, news)) = gateway.fleet().refresh_targets(now) else { return };
     let leaving = targets.iter().filter(|target| target.leaving).count();
-    let version = EraVersion::of(gateway.fleet().registry().borrow().newest());
+    let version = EraVersion::from_packed(gateway.fleet().registry().borrow().newest());
     tracing::info!(
         event = "targets-changed",
         targets = targets.len(),
@@ -247,7 +247,7 @@
 pub fn tell_mates(gateway: &Gateway, link: &PeerLink, leaving: bool) {
     let listed = listed_peers(gateway);
     let (now, news) = (gateway.hub().clock().now(), gateway.news());
-    let recipients = gateway.hub().peek_mut(|scheduler| scheduler.mate_recipients(now, &listed));
+    let recipients = gateway.hub().peek_mut(|scheduler| scheduler.cell_recipients(now, &listed));
     if recipients.is_empty() {
         return;
     }
@@ -259,7 +259,7 @@
 pub fn tell_others(gateway: &Gateway, link: &PeerLink, leaving: bool) {
     let listed = listed_peers(gateway);
     let (now, news) = (gateway.hub().clock().now(), gateway.news());
-    let recipients = gateway.hub().peek_mut(|scheduler| scheduler.other_recipients(now, &listed));
+    let recipients = gateway.hub().peek_mut(|scheduler| scheduler.outside_recipients(now, &listed));
     if recipients.is_empty() {
         return;
     }
--- a/crates/ryetide-gateway/src/fleet_view.rs
+++ b/crates/ryetide-gateway/src/fleet_view.rs
@@ -4,7 +4,7 @@
 
 use ryetide_core::{
     ids::ServiceName,
-    load_digest::FleetNews,
+    load_digest::FleetState,
     route::{CallerBounds, EngineProfile, RouteTable},
     target_load::TargetEntry,
     target_registry::TargetRegistry,
@@ -42,14 +42,14 @@
     }
 
     /// Returns how far this VM's knowledge of the fleet reaches, but for its watch.
-    pub fn news(&self, now: Moment) -> FleetNews {
+    pub fn news(&self, now: Moment) -> FleetState {
         let registry = self.registry.borrow();
-        FleetNews {
+        FleetState {
             revision: self.revision(),
             registry: registry.newest(),
             registry_reached: registry.reached(),
             watch: None,
-            leaving_targets: registry.leaving_by_word(now),
+            leaving_targets: registry.unregistered_leaving(now),
         }
     }
 
@@ -84,7 +84,7 @@
     pub fn has_left(&self, target: &TargetEntry) -> bool {
         let current = self.current.borrow();
         let found = current.iter().find(|entry| entry.name == target.name);
-        found.is_none_or(|entry| entry.leaving || entry.life != target.life)
+        found.is_none_or(|entry| entry.leaving || entry.incarnation != target.incarnation)
     }
 
     /// Waits until a later life of a target is known.
--- a/crates/ryetide-gateway/src/gateway_metrics.rs
+++ b/crates/ryetide-gateway/src/gateway_metrics.rs
@@ -10,7 +10,7 @@
 use ryetide_core::{
     chart::ChartName,
     service_rollout::ServiceRollout,
-    target_word::{LimitWord, TargetWord},
+    target_notice::{LimitNotice, TargetNotice},
     units::TierRank,
 };
 
@@ -157,11 +157,11 @@
     }
 
     /// Counts what an answer says of its target.
-    pub fn count_word(&self, word: TargetWord) {
+    pub fn count_word(&self, word: TargetNotice) {
         let said = [
             ("leaving", word.leaving),
             ("hold-off", word.hold_off.is_some()),
-            ("limit", word.limit != LimitWord::Unnamed),
+            ("limit", word.limit != LimitNotice::Unnamed),
         ];
         for (word, _) in said.into_iter().filter(|(_, is_said)| *is_said) {
             self.words.get_or_create(&WordLabels { word }).inc();
--- a/crates/ryetide-gateway/src/gateway_state.rs
+++ b/crates/ryetide-gateway/src/gateway_state.rs
@@ -9,7 +9,7 @@
 
 use hyper::{HeaderMap, header::HeaderValue};
 use ryetide_core::{
-    deadline_habit::DeadlineHabit, ids::VmName, load_digest::FleetNews, scheduler::Scheduler,
+    deadline_habit::DeadlineHabit, ids::VmName, load_digest::FleetState, scheduler::Scheduler,
     target_load::TargetEntry,
 };
 use tokio::sync::Notify;
@@ -120,9 +120,9 @@
     }
 
     /// Returns how far this VM's knowledge of the fleet reaches.
-    pub fn news(&self) -> FleetNews {
+    pub fn news(&self) -> FleetState {
         let now = self.hub.clock().now();
-        FleetNews { watch: self.relay.watch_note(), ..self.fleet.news(now) }
+        FleetState { watch: self.relay.watch_note(), ..self.fleet.news(now) }
     }
 
     /// Returns what finds out which targets have crashed.
@@ -197,9 +197,9 @@
     }
 
     /// Returns the part of the entry VMs that this one hears.
-    pub fn heard_part(&self) -> f64 {
+    pub fn reachable_share(&self) -> f64 {
         let now = self.hub.clock().now();
-        self.hub.peek(|scheduler| scheduler.heard_part(now))
+        self.hub.peek(|scheduler| scheduler.reachable_share(now))
     }
 
     /// Builds an answer of the gateway's own to the request `id`, and notes it.
--- a/crates/ryetide-gateway/src/peer_link.rs
+++ b/crates/ryetide-gateway/src/peer_link.rs
@@ -18,7 +18,7 @@
     era_version::EraVersion,
     ids::VmName,
     load_digest::{DigestEnvelope, LoadDigest},
-    watch_duty::WatchNote,
+    watcher_selection::WatchReport,
 };
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -194,10 +194,10 @@
 fn take(gateway: &Gateway, link: &PeerLink, envelope: PeerEnvelope, datagram: &[u8]) {
     let PeerEnvelope { from, message } = envelope;
     match message {
-        PeerMessage::Digest(digest) => take_digest(gateway, from, digest),
+        PeerMessage::Digest(digest) => apply_digest(gateway, from, digest),
         PeerMessage::PassOn(digest) => {
             link.relay.take(datagram, digest.scope);
-            take_digest(gateway, from, digest);
+            apply_digest(gateway, from, digest);
         }
         PeerMessage::PassedOn(passed) => {
             for inner in passed {
@@ -208,19 +208,20 @@
     }
 }
 
-fn take_digest(gateway: &Gateway, from: VmName, mut digest: LoadDigest) {
-    let era_here = EraVersion::of(gateway.fleet().registry().borrow().reached()).era;
-    let watches_now = |note: &WatchNote| EraVersion::of(note.targets.reached).era >= era_here;
+fn apply_digest(gateway: &Gateway, from: VmName, mut digest: LoadDigest) {
+    let era_here = EraVersion::from_packed(gateway.fleet().registry().borrow().reached()).era;
+    let watches_now =
+        |note: &WatchReport| EraVersion::from_packed(note.targets.reached).era >= era_here;
     // One that has not found out yet that the store came back from a copy has nothing to pass on.
     digest.watch = digest.watch.filter(watches_now);
     // Those of other cells pass nothing on here, and may hear of a change before the mates do.
-    let is_mate = gateway.hub().peek(|scheduler| scheduler.is_mate(&from));
-    if let Some(note) = digest.watch.as_ref().filter(|_| is_mate) {
+    let is_cell_peer = gateway.hub().peek(|scheduler| scheduler.is_cell_peer(&from));
+    if let Some(note) = digest.watch.as_ref().filter(|_| is_cell_peer) {
         gateway.relay().note_peer(note);
     }
     target_words::take_marks(gateway, &digest.leaving_targets);
     let envelope = DigestEnvelope { from, digest };
-    gateway.hub().with(|scheduler, now| scheduler.take_digest(now, envelope));
+    gateway.hub().with(|scheduler, now| scheduler.apply_digest(now, envelope));
 }
 
 /// Takes a datagram that another VM has passed on. It is believed by the hash of the VM that speaks in it, and goes no
@@ -228,7 +229,7 @@
 fn take_passed_on(gateway: &Gateway, datagram: &[u8]) {
     match open_listed(gateway, datagram) {
         Ok(PeerEnvelope { from, message: PeerMessage::PassOn(digest) }) => {
-            take_digest(gateway, from, digest);
+            apply_digest(gateway, from, digest);
         }
         Ok(PeerEnvelope { from, .. }) => {
             let reason = "not to be passed on";
--- a/crates/ryetide-gateway/src/relay.rs
+++ b/crates/ryetide-gateway/src/relay.rs
@@ -107,7 +107,7 @@
             biased;
             frame = reading => frame,
             () = self.exchange.gateway().fleet().life_ended(target) => {
-                tracing::debug!(event = "target-restarted", peer = %target.name, life = %target.life);
+                tracing::debug!(event = "target-restarted", peer = %target.name, life = %target.incarnation);
                 return Err(RelayFault::Broken);
             }
         };
--- a/crates/ryetide-gateway/src/row_faults.rs
+++ b/crates/ryetide-gateway/src/row_faults.rs
@@ -32,7 +32,7 @@
             self.told.clear();
         }
         self.told.insert(row.key.clone(), row.version);
-        let version = EraVersion::of(row.version);
+        let version = EraVersion::from_packed(row.version);
         let key: String = row.key.chars().take(KEY_LENGTH).collect();
         tracing::warn!(event = "row-unreadable", %table, key, %version, %reason);
         true
--- a/crates/ryetide-gateway/src/store_feed.rs
+++ b/crates/ryetide-gateway/src/store_feed.rs
@@ -264,7 +264,7 @@
         if found.row.as_ref() == Some(&self.row) {
             return;
         }
-        let version = EraVersion::of(found.version);
+        let version = EraVersion::from_packed(found.version);
         tracing::info!(event = "row-missing", step = "announce", %version);
         self.version = found.version;
         self.write().await;
@@ -403,7 +403,7 @@
     }
 
     fn doubt(&mut self, left: Duration) -> Option<FleetUpdate> {
-        Some(FleetUpdate::Targets(RegistryUpdate::SourceDoubtful(left), 0))
+        Some(FleetUpdate::Targets(RegistryUpdate::MissingEntryGrace(left), 0))
     }
 }
 
--- a/crates/ryetide-gateway/src/table_follower.rs
+++ b/crates/ryetide-gateway/src/table_follower.rs
@@ -11,7 +11,7 @@
 use std::{rc::Rc, time::Duration};
 
 use rand::Rng;
-use ryetide_core::{era_version::EraVersion, target_registry, watch_duty::FeedMark};
+use ryetide_core::{era_version::EraVersion, target_registry, watcher_selection::FeedPosition};
 use tokio::{
     sync::{broadcast, watch},
     time::{self, Instant},
@@ -183,15 +183,17 @@
             };
             match outcome {
                 Ok(rows) if rows.version < self.version => {
-                    let (table, found) = (self.pace.table, EraVersion::of(rows.version));
-                    let seen = EraVersion::of(self.version);
+                    let (table, found) = (self.pace.table, EraVersion::from_packed(rows.version));
+                    let seen = EraVersion::from_packed(self.version);
                     tracing::info!(event = "reading-passed-over", %table, %found, %seen);
                     self.pause.wait().await;
                 }
                 Ok(rows) => {
                     let changed = !rows.rows.is_empty();
                     self.regained().await;
-                    if EraVersion::of(rows.version).era > EraVersion::of(self.version).era {
+                    if EraVersion::from_packed(rows.version).era
+                        > EraVersion::from_packed(self.version).era
+                    {
                         self.restored(rows.version).await;
                     }
                     if changed {
@@ -212,7 +214,7 @@
                 }
                 Err(TableFault::HistoryGone) => {
                     let table = self.pace.table;
-                    let since = EraVersion::of(self.version);
+                    let since = EraVersion::from_packed(self.version);
                     tracing::warn!(event = "history-gone", %table, %since);
                     followed = false;
                     // The store is back; what is in doubt is so from now, not from when it has been read.
@@ -326,7 +328,7 @@
     /// Returns whether a peer that watches has a change that has not come here. Otherwise this VM knows the
     /// table as far as the peer does.
     async fn is_behind_peers(&mut self) -> bool {
-        let FeedMark { changed, reached } = self.line.relay.peer_mark(self.pace.table);
+        let FeedPosition { changed, reached } = self.line.relay.peer_mark(self.pace.table);
         if changed > self.version {
             return true;
         }
@@ -359,7 +361,7 @@
 
     /// Tells the peers how far this VM's watch has come, or that it does not watch.
     fn note_own(&self, watches: bool) {
-        let mark = FeedMark { changed: self.changed, reached: self.version };
+        let mark = FeedPosition { changed: self.changed, reached: self.version };
         self.line.relay.note_own(self.pace.table, watches.then_some(mark));
     }
 
@@ -379,7 +381,7 @@
     /// Tells from whom rows have come, and as of which version.
     fn log_news(&self, from: &'static str, rows: usize, version: u64) {
         let (table, doubt_ms) = (self.pace.table, self.doubt_left().as_millis());
-        let version = EraVersion::of(version);
+        let version = EraVersion::from_packed(version);
         tracing::info!(event = "table-news", %table, from, rows, %version, doubt_ms);
     }
 
@@ -419,13 +421,13 @@
         if known == 0 {
             return;
         }
-        let (table, found) = (self.pace.table, EraVersion::of(version));
-        let seen = EraVersion::of(known);
+        let (table, found) = (self.pace.table, EraVersion::from_packed(version));
+        let seen = EraVersion::from_packed(known);
         tracing::warn!(event = "store-restored", peer = "store", %table, %found, %seen);
         if self.doubt_left().is_zero() {
             self.back_at = Some(Instant::now());
-            self.doubt_for(target_registry::DOUBT_SPAN);
-            let update = self.reader.doubt(target_registry::DOUBT_SPAN);
+            self.doubt_for(target_registry::MISSING_ENTRY_GRACE);
+            let update = self.reader.doubt(target_registry::MISSING_ENTRY_GRACE);
             self.tell(update).await;
         }
         let update = self.reader.restored();
@@ -439,7 +441,7 @@
         self.line.relay.outage().end();
         if std::mem::take(&mut self.lost) {
             self.back_at = Some(Instant::now());
-            self.doubt_for(target_registry::DOUBT_SPAN);
+            self.doubt_for(target_registry::MISSING_ENTRY_GRACE);
             tracing::info!(event = "dependency-regained", peer = "store", table = %self.pace.table);
             let update = self.reader.source(false);
             self.tell(update).await;
--- a/crates/ryetide-gateway/src/target_answer.rs
+++ b/crates/ryetide-gateway/src/target_answer.rs
@@ -12,7 +12,7 @@
 };
 use ryetide_core::{
     target_load::TargetEntry,
-    target_word::{self, LimitWord, TargetWord},
+    target_notice::{self, LimitNotice, TargetNotice},
 };
 
 use crate::{ports::HeaderNames, target_pool::TargetConnection};
@@ -67,20 +67,20 @@
 }
 
 /// Returns what the head of an answer says of its target, whatever request it belongs to.
-pub fn word_of<T>(response: &Response<T>, names: &HeaderNames) -> TargetWord {
+pub fn word_of<T>(response: &Response<T>, names: &HeaderNames) -> TargetNotice {
     let headers = response.headers();
     let leaving = headers.get(&names.leaving).is_some_and(|value| value != "0");
     let turns_away = response.status() == StatusCode::SERVICE_UNAVAILABLE;
     let hold_off = if turns_away { retry_after(headers) } else { None };
     let limits = headers.get_all(&names.limit).iter();
-    let limit = LimitWord::read(limits.map(|value| value.to_str().ok()));
-    TargetWord { leaving, hold_off, limit }
+    let limit = LimitNotice::read(limits.map(|value| value.to_str().ok()));
+    TargetNotice { leaving, hold_off, limit }
 }
 
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     // What is no number of seconds names no time.
     let seconds: f64 = headers.get(header::RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
-    let longest = target_word::LONGEST_HOLD_OFF;
+    let longest = target_notice::LONGEST_HOLD_OFF;
     Duration::try_from_secs_f64(seconds).ok().map(|span| span.min(longest))
 }
 
--- a/crates/ryetide-gateway/src/target_words.rs
+++ b/crates/ryetide-gateway/src/target_words.rs
@@ -2,7 +2,7 @@
 
 use ryetide_core::{
     target_load::TargetEntry,
-    target_word::{LeavingMark, LimitWord, TargetWord},
+    target_notice::{LeavingReport, LimitNotice, TargetNotice},
     units::Moment,
 };
 
@@ -14,10 +14,10 @@
     gateway: &Gateway,
     request: &LogId<'_>,
     target: &TargetEntry,
-    word: TargetWord,
+    word: TargetNotice,
     asked: Option<Moment>,
 ) {
-    note_limit(gateway, request, target, word.limit, asked);
+    record_limit(gateway, request, target, word.limit, asked);
     if word.is_empty() {
         return;
     }
@@ -29,37 +29,37 @@
     }
     let now = gateway.hub().clock().now();
     let registry = gateway.fleet().registry();
-    if word.leaving && registry.borrow_mut().words_mut().note(now, key) {
+    if word.leaving && registry.borrow_mut().leaving_notices_mut().record(now, key) {
         fleet_duties::refresh_targets(gateway);
     }
 }
 
 /// An answer that names no limit ends the one that was known.
-fn note_limit(
+fn record_limit(
     gateway: &Gateway,
     request: &LogId<'_>,
     target: &TargetEntry,
-    word: LimitWord,
+    word: LimitNotice,
     asked: Option<Moment>,
 ) {
     let key = target.key();
     let is_known = || gateway.hub().peek(|scheduler| scheduler.knows_limit(key));
     // An answer that is another request's may be an old one.
     let Some(asked) = asked.or_else(|| word.rate().map(|_| Moment::default())) else { return };
-    if word == LimitWord::Unnamed && !is_known() {
+    if word == LimitNotice::Unnamed && !is_known() {
         return;
     }
-    let is_new = gateway.hub().with(|scheduler, now| scheduler.note_limit(now, key, word, asked));
+    let is_new = gateway.hub().with(|scheduler, now| scheduler.record_limit(now, key, word, asked));
     if is_new {
         gateway.log().limit(request, target, word.rate());
     }
 }
 
 /// Takes what a peer tells of targets that leave.
-pub fn take_marks(gateway: &Gateway, marks: &[LeavingMark]) {
+pub fn take_marks(gateway: &Gateway, marks: &[LeavingReport]) {
     let now = gateway.hub().clock().now();
     let mut registry = gateway.fleet().registry().borrow_mut();
-    let new = marks.iter().filter(|mark| registry.words_mut().take(now, **mark)).count();
+    let new = marks.iter().filter(|mark| registry.leaving_notices_mut().merge(now, **mark)).count();
     drop(registry);
     if new > 0 {
         fleet_duties::refresh_targets(gateway);
--- a/crates/ryetide-gateway/tests/releases.rs
+++ b/crates/ryetide-gateway/tests/releases.rs
@@ -4,11 +4,11 @@
 use ryetide_core::{
     crash_ledger::CrashUpdate,
     ids::{DataCentreName, Incarnation, OrganisationKey, TargetKey, VmName},
-    load_digest::{DigestScope, LoadDigest, PlacedPrompt, TargetMark, WaitMark},
-    target_limit::LimitMark,
-    target_word::LeavingMark,
+    load_digest::{DigestScope, LoadDigest, PlacedPrompt, QueueReport, TargetReport},
+    target_limit::LimitReport,
+    target_notice::LeavingReport,
     units::{RequestRate, Revision},
-    watch_duty::WatchNote,
+    watcher_selection::WatchReport,
 };
 use ryetide_gateway::peer_link::{self, PeerEnvelope, PeerMessage};
 use serde::{Deserialize, Serialize};
@@ -26,13 +26,13 @@
     data_centre: Option<DataCentreName>,
     revision: Revision,
     registry: u64,
-    watch: Option<WatchNote>,
-    targets: Vec<TargetMark>,
-    waiting: Vec<WaitMark>,
+    watch: Option<WatchReport>,
+    targets: Vec<TargetReport>,
+    waiting: Vec<QueueReport>,
     spent: Vec<(OrganisationKey, u64)>,
     placed: Vec<PlacedPrompt>,
     crashes: CrashUpdate,
-    leaving_targets: Vec<LeavingMark>,
+    leaving_targets: Vec<LeavingReport>,
 }
 
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
@@ -89,7 +89,7 @@
 /// What was added last is at the end, where the release before roll-outs reads nothing and one without limits neither.
 #[test]
 fn limits_are_heard_by_this_release_and_passed_over_by_the_one_before() {
-    let mark = LimitMark { target: TargetKey(7), rate: Some(RequestRate(1_900)), age_ms: 40 };
+    let mark = LimitReport { target: TargetKey(7), rate: Some(RequestRate(1_900)), age_ms: 40 };
     let digest =
         LoadDigest { incarnation: Incarnation(3), limits: vec![mark], ..LoadDigest::default() };
     let envelope = PeerEnvelope { from: "e1".into(), message: PeerMessage::Digest(digest) };
--- a/crates/ryetide-gateway/tests/serving/lives.rs
+++ b/crates/ryetide-gateway/tests/serving/lives.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ryetide_core::{ids::TargetLife, route::WorkKind, target_load::TargetEntry};
+use ryetide_core::{ids::TargetIncarnation, route::WorkKind, target_load::TargetEntry};
 use ryetide_gateway::ports::LocalFuture;
 use tokio::time;
 
@@ -21,7 +21,11 @@
 
 /// The same target, started later at another address.
 fn next_life(first: &Target, second: &Target) -> TargetEntry {
-    TargetEntry { name: first.entry.name.clone(), life: TargetLife(2), ..second.entry.clone() }
+    TargetEntry {
+        name: first.entry.name.clone(),
+        incarnation: TargetIncarnation(2),
+        ..second.entry.clone()
+    }
 }
 
 async fn await_request(target: &Target) {
--- a/crates/ryetide-gateway/tests/serving/support.rs
+++ b/crates/ryetide-gateway/tests/serving/support.rs
@@ -191,7 +191,7 @@
 pub fn entry(name: &str, address: SocketAddr) -> TargetEntry {
     TargetEntry {
         name: name.into(),
-        life: Default::default(),
+        incarnation: Default::default(),
         version: "v1".into(),
         service: SERVICE.into(),
         address,
--- a/crates/ryetide-gateway/tests/table_follower/model_store.rs
+++ b/crates/ryetide-gateway/tests/table_follower/model_store.rs
@@ -75,7 +75,7 @@
     }
 
     fn joined(&self, number: u64) -> u64 {
-        EraVersion { era: self.era.get(), number }.joined()
+        EraVersion { era: self.era.get(), number }.to_packed()
     }
 
     pub fn put(&self, table: FleetTable, key: &str, value: &[u8]) {
@@ -174,7 +174,7 @@
 
 impl ModelTable {
     async fn wait_for_rows(&self, since: u64, wait: Duration) -> Result<TableRows, TableFault> {
-        let EraVersion { era, number } = EraVersion::of(since);
+        let EraVersion { era, number } = EraVersion::from_packed(since);
         let until = Instant::now() + wait;
         time::sleep(ANSWER_TIME).await;
         loop {
@@ -278,7 +278,7 @@
     fn target(&self, name: &str, _value: &[u8]) -> Result<TargetEntry, StepError> {
         Ok(TargetEntry {
             name: name.into(),
-            life: Default::default(),
+            incarnation: Default::default(),
             version: "v1".into(),
             service: "desk".into(),
             address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
@@ -354,10 +354,10 @@
                 update = news.recv() => match update {
                     Some(FleetUpdate::Targets(update, newest)) => {
                         self.fleet.registry().borrow_mut().take(self.now(), update);
-                        self.fleet.registry().borrow_mut().note_newest(newest);
+                        self.fleet.registry().borrow_mut().record_newest(newest);
                     }
                     Some(FleetUpdate::TargetsReached(version)) => {
-                        self.fleet.registry().borrow_mut().note_reached(version);
+                        self.fleet.registry().borrow_mut().record_reached(version);
                     }
                     Some(_) => continue,
                     None => return,
--- a/crates/ryetide-gateway/tests/table_follower/nudges.rs
+++ b/crates/ryetide-gateway/tests/table_follower/nudges.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use ryetide_core::peer_board::FeedLag;
+use ryetide_core::peer_digests::FeedLag;
 use ryetide_gateway::{
     feed_watch::{FeedPauses, FeedWatch},
     ports::FleetFeed,
--- a/crates/ryetide-gateway/tests/table_follower/rests.rs
+++ b/crates/ryetide-gateway/tests/table_follower/rests.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
-use ryetide_core::watch_duty::{FeedMark, WatchNote};
+use ryetide_core::watcher_selection::{FeedPosition, WatchReport};
 use ryetide_gateway::{
     feed_nudge::FeedNudge,
     feed_relay::{FeedRelay, RelayedChange},
@@ -59,8 +59,8 @@
     RelayedChange { table: FleetTable::Targets, after, reached, doubt: Duration::ZERO, rows }
 }
 
-fn peer_at(changed: u64, reached: u64) -> WatchNote {
-    WatchNote { targets: FeedMark { changed, reached }, ..WatchNote::default() }
+fn peer_at(changed: u64, reached: u64) -> WatchReport {
+    WatchReport { targets: FeedPosition { changed, reached }, ..WatchReport::default() }
 }
 
 async fn local(test: impl Future<Output = ()>) {
--- a/crates/ryetide-gateway/tests/target_news.rs
+++ b/crates/ryetide-gateway/tests/target_news.rs
@@ -8,7 +8,7 @@
 fn entry(name: &str, leaving: bool) -> TargetEntry {
     TargetEntry {
         name: name.into(),
-        life: Default::default(),
+        incarnation: Default::default(),
         version: "v1".into(),
         service: "desk".into(),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
--- a/src/target_client.rs
+++ b/src/target_client.rs
@@ -17,7 +17,7 @@
     event::{AnswerHead, Event, LoadReport, TargetOperation, TargetRoute},
     ids::{AttemptNumber, RequestId, RequestSequence},
     request_fingerprint::RequestFingerprint,
-    target_word::{LimitWord, TargetWord},
+    target_notice::{LimitNotice, TargetNotice},
     units::ByteSize,
 };
 use tokio::{net::TcpStream, sync::oneshot, time::Instant};
@@ -325,7 +325,7 @@
 }
 
 /// Returns what the head of an answer says of its target.
-fn word_of(response: &ClientResponse) -> TargetWord {
+fn word_of(response: &ClientResponse) -> TargetNotice {
     let leaving = response.header(LEAVING_HEADER).is_some();
     let turns_away = response.status() == StatusCode::SERVICE_UNAVAILABLE;
     let named = response.header(header::RETRY_AFTER).filter(|_| turns_away);
@@ -333,8 +333,8 @@
     let seconds = named.and_then(|value| value.to_str().ok()?.trim().parse().ok());
     let hold_off = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     let limits = response.headers().get_all(LIMIT_HEADER);
-    let limit = LimitWord::read(limits.map(|value| value.to_str().ok()));
-    TargetWord { leaving, hold_off, limit }
+    let limit = LimitNotice::read(limits.map(|value| value.to_str().ok()));
+    TargetNotice { leaving, hold_off, limit }
 }
 
 fn engine_path(id: &RequestId) -> String {
