--- a/crates/ryetide-core/src/arbiter.rs
+++ b/crates/ryetide-core/src/arbiter.rs
@@ -22,9 +22,9 @@
     ids::{OrganisationKey, ScopeKey, TargetKey, VmName},
     limit_share::{self, LimitShare},
     message::{RefuseReason, ReleaseMessage, ReleaseOutcome, RequestProfile, ScopeLoad},
-    output_guess::OutputGuess,
+    output_estimate::OutputEstimate,
     queue::{FairQueue, QueuePosition, QueueTicket},
-    retry::RetryPromise,
+    retry_planner::RetryPlanner,
     safeguard::SafeguardSwitches,
     slot_ledger::{HeldSlot, SlotLedger},
     slot_request::{ArbiterVerdict, RequestKey, SlotRequest, VerdictKind},
@@ -76,12 +76,12 @@
     pub(crate) queue: FairQueue<RequestKey>,
     pub(crate) held: SlotLedger,
     pub(crate) hints: PrefixHints,
-    pub(crate) output: OutputGuess,
+    pub(crate) output: OutputEstimate,
     /// The share of each target that this arbiter may grant, from 0 to 1.
     pub(crate) share: f64,
     /// Nothing is granted before this time.
     pub(crate) grant_from: Moment,
-    retry_promise: RetryPromise,
+    retry_promise: RetryPlanner,
     /// When a request of each tier was last shed because of load.
     last_shed: BTreeMap<TierRank, Moment>,
 }
@@ -109,10 +109,10 @@
             queue: FairQueue::new(),
             held: SlotLedger::new(grant_from),
             hints: PrefixHints::default(),
-            output: OutputGuess::default(),
+            output: OutputEstimate::default(),
             share,
             grant_from,
-            retry_promise: RetryPromise::new(grant_from),
+            retry_promise: RetryPlanner::new(grant_from),
             last_shed: BTreeMap::new(),
         };
         arbiter.configure(catalog);
--- a/crates/ryetide-core/src/deadline_habit.rs
+++ b/crates/ryetide-core/src/deadline_tracker.rs
@@ -29,22 +29,22 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use ryetide_core::deadline_habit::DeadlineHabit;
+/// use ryetide_core::deadline_tracker::DeadlineTracker;
 ///
-/// let mut tracker = DeadlineHabit::default();
+/// let mut tracker = DeadlineTracker::default();
 /// for _ in 0..30 {
 ///     assert_eq!(tracker.waited(Duration::from_secs(10)), Duration::ZERO);
 /// }
 /// assert_eq!(tracker.waited(Duration::from_millis(9_300)), Duration::from_millis(700));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct DeadlineHabit {
+pub struct DeadlineTracker {
     /// How often each time was stated, in milliseconds.
     counts: BTreeMap<u64, u32>,
     total: u32,
 }
 
-impl DeadlineHabit {
+impl DeadlineTracker {
     /// Records the remaining time that a caller states, and returns how long it has already waited.
     pub fn waited(&mut self, left: Duration) -> Duration {
         let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
--- a/crates/ryetide-core/src/decision.rs
+++ b/crates/ryetide-core/src/decision.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{ids::RequestSequence, placing::PlacingForecast, target_load::TargetEntry};
+use crate::{ids::RequestSequence, placement::PlacementForecast, target_load::TargetEntry};
 
 /// Why a request that has not run is refused with a retry delay.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, strum::IntoStaticStr)]
@@ -35,13 +35,13 @@
 
 /// The figures behind a placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlacingEvidence {
+pub struct PlacementEvidence {
     /// What was expected at the chosen target.
-    pub forecast: PlacingForecast,
+    pub forecast: PlacementForecast,
     /// Requests of all VMs that ran at the target.
     pub running: u32,
     /// Requests that waited at this VM.
-    pub line: usize,
+    pub waiting: usize,
     /// Whether the request had already missed its objective.
     pub late: bool,
 }
@@ -56,7 +56,7 @@
         /// The target.
         target: TargetEntry,
         /// The figures behind the placement.
-        evidence: PlacingEvidence,
+        evidence: PlacementEvidence,
     },
     /// Refuse the request, which has not run, with a retry delay.
     Refuse {
@@ -67,6 +67,6 @@
         /// The delay after which the caller should retry.
         retry_after: Duration,
         /// Requests that waited at this VM.
-        line: usize,
+        waiting: usize,
     },
 }
--- a/crates/ryetide-core/src/digest_tracker.rs
+++ b/crates/ryetide-core/src/digest_tracker.rs
@@ -42,10 +42,15 @@
     }
 
     /// Records that a prompt was dispatched to a target.
-    pub fn record_placement(&mut self, target: TargetKey, part: u32, prompt: Tokens) {
+    pub fn record_placement(&mut self, target: TargetKey, prompt_hash: u32, prompt: Tokens) {
         self.placement_count += 1;
         let tokens = u32::try_from(prompt.0).unwrap_or(u32::MAX);
-        self.placed.push_back(PlacedPrompt { number: self.placement_count, part, target, tokens });
+        self.placed.push_back(PlacedPrompt {
+            number: self.placement_count,
+            prompt_hash,
+            target,
+            tokens,
+        });
         if self.placed.len() > PLACEMENT_LIMIT {
             self.placed.pop_front();
         }
--- a/crates/ryetide-core/src/lib.rs
+++ b/crates/ryetide-core/src/lib.rs
@@ -26,14 +26,14 @@
 //! | [`event`], [`effect`], [`message`] | events, effects, and the messages between entry VMs |
 //! | [`chart`] | state charts, read from files and interpreted |
 //! | [`text`], [`catalog`] | parsing of operators' YAML, with all errors reported at once; the services text |
-//! | [`arbiter`], [`slot_request`], [`queue`], [`target_estimate`], [`affinity`], [`retry`] | order, admission and placement of requests for a service |
+//! | [`arbiter`], [`slot_request`], [`queue`], [`target_estimate`], [`affinity`], [`retry_planner`] | order, admission and placement of requests for a service |
 //! | [`membership`] | the peers, and which VM arbitrates a service |
 //! | [`claim`], [`configuration`], [`request`] | the state behind the guarantees |
 //! | [`request_fingerprint`], [`crash_ledger`], [`crash_attribution`] | requests that crash targets |
-//! | [`route`], [`route_text`], [`quota`], [`quota_desk`], [`retry_budget`], [`comeback_time`] | routed requests: their routes, quotas and retries |
+//! | [`route`], [`route_text`], [`quota`], [`quota_allocator`], [`retry_budget`], [`retry_delay`] | routed requests: their routes, quotas and retries |
 //! | [`rollout_order`], [`rollout_manager`], [`service_rollout`], [`rollout_evidence`], [`rollout_evaluation`] | rollouts of new versions: their traffic, evaluation and outcome |
-//! | [`scheduler`], [`scheduler_options`], [`line_view`], [`wait_line`], [`recent_arrivals`], [`deadline_habit`], [`decision`] | queueing and refusal of routed requests |
-//! | [`placing`], [`target_load`], [`target_health`], [`pace`], [`prompt_memory`] | placement of routed requests |
+//! | [`scheduler`], [`scheduler_options`], [`queue_view`], [`wait_queue`], [`recent_arrivals`], [`deadline_tracker`], [`decision`] | queueing and refusal of routed requests |
+//! | [`placement`], [`target_load`], [`target_health`], [`target_speed`], [`prompt_cache`] | placement of routed requests |
 //! | [`load_digest`], [`peer_digests`], [`cell_plan`], [`digest_timing`], [`digest_route`] | load reports between entry VMs |
 //! | [`target_registry`], [`target_notice`] | the existing targets, and the notices in their answers |
 //! | [`target_limit`], [`limit_share`] | request rate limits that targets announce, and each VM's share of them |
@@ -48,11 +48,10 @@
 pub mod cell_plan;
 pub mod chart;
 pub mod claim;
-pub mod comeback_time;
 pub mod configuration;
 pub mod crash_attribution;
 pub mod crash_ledger;
-pub mod deadline_habit;
+pub mod deadline_tracker;
 pub mod decision;
 pub mod digest_route;
 pub mod digest_timing;
@@ -74,24 +73,23 @@
 pub mod ids;
 pub mod json_form;
 pub mod limit_share;
-pub mod line_view;
 pub mod load_digest;
 pub mod membership;
 pub mod message;
-mod output_guess;
-pub mod pace;
+mod output_estimate;
 pub mod peer_digests;
-pub mod place_turn;
-pub mod placing;
-pub mod prompt_memory;
+pub mod placement;
+pub mod prompt_cache;
 pub mod queue;
+pub mod queue_view;
 pub mod quota;
-pub mod quota_desk;
+pub mod quota_allocator;
 pub mod recent_arrivals;
 pub mod request;
 pub mod request_fingerprint;
-pub mod retry;
 pub mod retry_budget;
+pub mod retry_delay;
+pub mod retry_planner;
 pub mod rollout_evaluation;
 pub mod rollout_evidence;
 pub mod rollout_manager;
@@ -107,14 +105,16 @@
 pub mod service_rollout;
 mod slot_ledger;
 pub mod slot_request;
+pub mod slot_turn;
 pub mod target_estimate;
 pub mod target_health;
 pub mod target_limit;
 pub mod target_load;
 pub mod target_notice;
 pub mod target_registry;
+pub mod target_speed;
 pub mod text;
 pub mod units;
 mod util;
-pub mod wait_line;
+pub mod wait_queue;
 pub mod watcher_selection;
--- a/crates/ryetide-core/src/load_digest.rs
+++ b/crates/ryetide-core/src/load_digest.rs
@@ -12,11 +12,11 @@
 use crate::{
     crash_ledger::CrashUpdate,
     ids::{DataCentreName, Incarnation, OrganisationKey, ServiceKey, TargetKey, VmName},
-    pace::PaceReport,
-    place_turn::ClaimClass,
     service_rollout::RolloutProgress,
+    slot_turn::UrgencyClass,
     target_limit::LimitReport,
     target_notice::LeavingReport,
+    target_speed::SpeedReport,
     units::Revision,
     watcher_selection::WatchReport,
 };
@@ -32,9 +32,9 @@
     pub unread: u32,
     /// Whether the sender suspects that the target has failed: its last connection attempt failed,
     /// or a request to the target has stalled.
-    pub doubtful: bool,
+    pub suspected: bool,
     /// The sender's estimate of the target's speed; only in a full digest.
-    pub pace: Option<PaceReport>,
+    pub speed: Option<SpeedReport>,
 }
 
 /// Queued requests of one service at one VM, in one class of urgency.
@@ -43,7 +43,7 @@
     /// The service.
     pub service: ServiceKey,
     /// The class of urgency.
-    pub class: ClaimClass,
+    pub class: UrgencyClass,
     /// The number of queued requests.
     pub count: u16,
 }
@@ -54,7 +54,7 @@
     /// The number of the placement in the VM's incarnation; peers apply each one once.
     pub number: u32,
     /// The hash of the prompt's last segment.
-    pub part: u32,
+    pub prompt_hash: u32,
     /// The target.
     pub target: TargetKey,
     /// The prompt's length.
--- a/crates/ryetide-core/src/output_guess.rs
+++ b/crates/ryetide-core/src/output_estimate.rs
@@ -10,15 +10,15 @@
 
 /// The estimated share of their output limit that requests generate.
 #[derive(Debug)]
-pub(crate) struct OutputGuess(f64);
+pub(crate) struct OutputEstimate(f64);
 
-impl Default for OutputGuess {
+impl Default for OutputEstimate {
     fn default() -> Self {
         Self(INITIAL_SHARE)
     }
 }
 
-impl OutputGuess {
+impl OutputEstimate {
     /// Returns the number of tokens that a request with this limit is expected to generate.
     pub(crate) fn expected(&self, limit: Tokens) -> Tokens {
         Tokens((limit.0 as f64 * self.0).ceil() as u64)
--- a/crates/ryetide-core/src/peer_digests.rs
+++ b/crates/ryetide-core/src/peer_digests.rs
@@ -6,7 +6,7 @@
     cell_plan::CellMember,
     ids::{DataCentreName, Incarnation, ServiceKey, VmName},
     load_digest::{FleetState, LoadDigest, QueueReport},
-    place_turn::{ClaimClass, PlaceClaimant},
+    slot_turn::{SlotClaimant, UrgencyClass},
     units::{Moment, Revision},
     watcher_selection::WATCH_SPAN,
 };
@@ -215,7 +215,7 @@
 
     /// Returns the number of requests at peers in more urgent classes than `class`, and in the same
     /// class.
-    pub fn ahead(&self, now: Moment, service: ServiceKey, class: ClaimClass) -> AheadCount {
+    pub fn ahead(&self, now: Moment, service: ServiceKey, class: UrgencyClass) -> AheadCount {
         let reports = self.reachable(now).flat_map(|record| record.waiting.iter());
         let mut ahead = AheadCount::default();
         for report in reports.filter(|report| report.service == service) {
@@ -229,12 +229,12 @@
     }
 
     /// Returns the peers with queued requests for a service, each with its most urgent class.
-    pub fn claimants(&self, now: Moment, service: ServiceKey) -> Vec<PlaceClaimant<'_>> {
+    pub fn claimants(&self, now: Moment, service: ServiceKey) -> Vec<SlotClaimant<'_>> {
         let reachable =
             self.records.iter().filter(|(_, record)| now.since(record.received_at) < PEER_TIMEOUT);
         let claimants = reachable.filter_map(|(vm, record)| {
             let reports = record.waiting.iter().filter(|report| report.service == service);
-            Some(PlaceClaimant { vm, class: reports.map(|report| report.class).min()? })
+            Some(SlotClaimant { vm, class: reports.map(|report| report.class).min()? })
         });
         claimants.collect()
     }
--- a/crates/ryetide-core/src/placing.rs
+++ b/crates/ryetide-core/src/placement.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     ids::DataCentreName,
-    pace::AssumedPace,
     target_load::TargetLoad,
+    target_speed::AssumedSpeed,
     units::{Moment, Tokens},
 };
 
@@ -41,13 +41,13 @@
 
 /// The properties of a request that matter for the choice of a target.
 #[derive(Clone, Debug)]
-pub struct PlacingNeed {
+pub struct PlacementNeed {
     /// Whether the answer is a stream of a model engine.
     pub engine: bool,
     /// The length of the prompt.
     pub prompt: Tokens,
     /// The hash of the last section of the prompt.
-    pub part: Option<u32>,
+    pub prompt_hash: Option<u32>,
     /// The expected number of events in the answer.
     pub events: u32,
     /// Time left until its objective.
@@ -58,7 +58,7 @@
 
 /// The expected result of a request at one target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlacingForecast {
+pub struct PlacementForecast {
     /// Time to the first event, or to the whole answer.
     pub first: Duration,
     /// Prompt tokens that the target would have to read.
@@ -68,7 +68,7 @@
     /// Whether the request would be on time without delaying the streams beside it.
     pub on_time: bool,
     /// Whether the target is suspected of being unreachable or stalled.
-    pub doubtful: bool,
+    pub suspected: bool,
     /// The cost by which targets are compared; the smallest is the best.
     pub cost: Duration,
 }
@@ -77,12 +77,12 @@
 pub fn forecast(
     now: Moment,
     target: &TargetLoad,
-    need: &PlacingNeed,
+    need: &PlacementNeed,
     own: &DataCentreName,
-    assumed: &AssumedPace,
-) -> PlacingForecast {
+    assumed: &AssumedSpeed,
+) -> PlacementForecast {
     let running = target.running(now);
-    let to_read = target.tokens_to_read(now, need.prompt, need.part);
+    let to_read = target.tokens_to_read(now, need.prompt, need.prompt_hash);
     let (first, duration) = if need.engine {
         let duration = target.estimate().event * need.events;
         (target.first_event(now, assumed, to_read), duration.mul_f64(DURATION_SHARE))
@@ -97,11 +97,11 @@
     let remote = target.entry().data_centre != *own;
     let mut cost = first + duration + RUNNING_CHARGE * running;
     cost += if remote { REMOTE_CHARGE } else { Duration::ZERO };
-    cost += FAILING_CHARGE.mul_f64(target.health().failing(now));
-    let doubtful = target.is_doubtful(now);
-    cost += if doubtful { SUSPECT_CHARGE } else { Duration::ZERO };
+    cost += FAILING_CHARGE.mul_f64(target.health().failure_rate(now));
+    let suspected = target.is_suspected(now);
+    cost += if suspected { SUSPECT_CHARGE } else { Duration::ZERO };
     cost += target.entry().warmup / 10;
     let fits = first < need.objective_left.mul_f64(OBJECTIVE_SHARE);
-    let on_time = keeps_pauses && fits && !doubtful;
-    PlacingForecast { first, to_read, keeps_pauses, on_time, doubtful, cost }
+    let on_time = keeps_pauses && fits && !suspected;
+    PlacementForecast { first, to_read, keeps_pauses, on_time, suspected, cost }
 }
--- a/crates/ryetide-core/src/prompt_memory.rs
+++ b/crates/ryetide-core/src/prompt_cache.rs
@@ -26,16 +26,16 @@
 
 /// The prompts that one target is assumed to have cached.
 #[derive(Debug, Default)]
-pub struct PromptMemory {
+pub struct PromptCache {
     prompts: HashMap<u32, CachedPrompt>,
     by_use: BTreeMap<u64, u32>,
     tokens: u64,
     uses: u64,
 }
 
-impl PromptMemory {
+impl PromptCache {
     /// Records that a prompt was sent to the target.
-    pub fn note(&mut self, now: Moment, hash: u32, tokens: Tokens) {
+    pub fn record(&mut self, now: Moment, hash: u32, tokens: Tokens) {
         self.remove(hash);
         self.uses += 1;
         let prompt = CachedPrompt { tokens: tokens.0, order: self.uses, used: now };
--- a/crates/ryetide-core/src/line_view.rs
+++ b/crates/ryetide-core/src/queue_view.rs
@@ -1,24 +1,24 @@
 //! Decides what can be done about one service's queue at one moment: which request goes to which
 //! target, and which is refused.
 //!
-//! A [`LineView`] is read-only. Its rules are made for overload: bursts that the targets cannot
+//! A [`QueueView`] is read-only. Its rules are made for overload: bursts that the targets cannot
 //! start in time, and the loss of a part of the targets.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::{
-    decision::{PlacingEvidence, RefusalReason},
+    decision::{PlacementEvidence, RefusalReason},
     ids::{RequestSequence, ServiceKey, ServiceName, TargetKey},
     limit_share::{self, LimitShare},
     load_digest::QueueReport,
     peer_digests::{AheadCount, PeerDigests},
-    place_turn::{self, ClaimClass, OpenPlace, PlaceClaimant},
-    placing::{self, PlacingForecast, PlacingNeed},
+    placement::{self, PlacementForecast, PlacementNeed},
     recent_arrivals::{self, RecentArrivals},
     scheduler_options::SchedulerOptions,
+    slot_turn::{self, FreeSlot, SlotClaimant, UrgencyClass},
     target_load::TargetLoad,
     units::Moment,
-    wait_line::{LineRank, WaitLine, WaitingWork},
+    wait_queue::{QueueRank, WaitQueue, WaitingRequest},
 };
 
 /// Time reserved for a refusal to reach a caller before the caller stops waiting.
@@ -35,30 +35,30 @@
 
 /// The queue of a service, its targets, and the observed load.
 #[derive(Debug)]
-pub struct ServiceLine {
+pub struct ServiceQueue {
     /// The service.
     pub key: ServiceKey,
     /// The waiting requests.
-    pub line: WaitLine,
+    pub queue: WaitQueue,
     /// The targets that this VM uses.
     pub targets: UsedTargets,
     /// Targets of a version on trial, which receive a bounded share of the requests.
     pub trial: UsedTargets,
     /// The mean time that a request occupies a slot; `None` until one was observed.
-    pub hold: Option<Duration>,
+    pub slot_time: Option<Duration>,
     /// Recent arrivals.
     pub arrivals: RecentArrivals,
 }
 
-impl ServiceLine {
+impl ServiceQueue {
     /// Creates the empty queue of a service without observations.
     pub fn new(service: &ServiceName) -> Self {
         Self {
             key: ServiceKey::of(service),
-            line: WaitLine::default(),
+            queue: WaitQueue::default(),
             targets: UsedTargets::default(),
             trial: UsedTargets::default(),
-            hold: None,
+            slot_time: None,
             arrivals: RecentArrivals::default(),
         }
     }
@@ -66,7 +66,7 @@
 
 /// An action that is possible for a waiting request.
 #[derive(Clone, Copy, Debug)]
-pub enum LineChoice {
+pub enum QueueAction {
     /// Send it to this target.
     Place {
         /// The request.
@@ -74,7 +74,7 @@
         /// The target.
         target: TargetKey,
         /// The figures behind the placement.
-        evidence: PlacingEvidence,
+        evidence: PlacementEvidence,
     },
     /// Refuse it with a retry delay.
     Refuse {
@@ -86,48 +86,50 @@
 }
 
 /// A service's queue and the targets that accept new work, at one moment.
-pub struct LineView<'a> {
+pub struct QueueView<'a> {
     now: Moment,
-    state: &'a ServiceLine,
+    state: &'a ServiceQueue,
     usable: Vec<&'a TargetLoad>,
     /// Targets of a version on trial, if one more request may go there.
     trial: Vec<&'a TargetLoad>,
     /// When the first back-off ends, if no target is usable and all targets that are not leaving
     /// have requested back-off.
-    held_until: Option<Moment>,
+    backed_off_until: Option<Moment>,
     /// This VM's limits for the targets that are not leaving, if all of them set a limit.
     limits: Option<Vec<LimitShare>>,
     peers: &'a PeerDigests,
     options: &'a SchedulerOptions,
-    sharing: PlaceSharing,
+    sharing: SlotSharing,
 }
 
 /// How the VMs of a cell share the slots of their targets.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceSharing {
+pub struct SlotSharing {
     /// Number of VMs, including this one.
     pub vms: u32,
     /// How long a VM's turn at a freed slot lasts.
     pub turn_span: Duration,
 }
 
-impl<'a> LineView<'a> {
+impl<'a> QueueView<'a> {
     /// Creates a view of a service's queue.
     pub fn new(
         now: Moment,
-        state: &'a ServiceLine,
+        state: &'a ServiceQueue,
         targets: &'a BTreeMap<TargetKey, TargetLoad>,
         peers: &'a PeerDigests,
         options: &'a SchedulerOptions,
-        sharing: PlaceSharing,
+        sharing: SlotSharing,
     ) -> Self {
         let loads: Vec<&TargetLoad> =
             state.targets.keys.iter().filter_map(|key| targets.get(key)).collect();
         let limits = limits_of(&loads);
-        let (usable, others): (Vec<_>, Vec<_>) = loads.iter().partition(|load| load.may_get(now));
-        let held_until = if usable.is_empty() { first_back_off_end(now, &others) } else { None };
+        let (usable, others): (Vec<_>, Vec<_>) =
+            loads.iter().partition(|load| load.accepts_work(now));
+        let backed_off_until =
+            if usable.is_empty() { first_back_off_end(now, &others) } else { None };
         let trial = Vec::new();
-        Self { now, state, usable, trial, held_until, limits, peers, options, sharing }
+        Self { now, state, usable, trial, backed_off_until, limits, peers, options, sharing }
     }
 
     /// Allows one request to go to these targets, which run a version on trial.
@@ -137,34 +139,34 @@
         targets: &'a BTreeMap<TargetKey, TargetLoad>,
     ) -> Self {
         let loads = keys.iter().filter_map(|key| targets.get(key));
-        self.trial = loads.filter(|load| load.may_get(self.now)).collect();
+        self.trial = loads.filter(|load| load.accepts_work(self.now)).collect();
         self
     }
 
     /// Returns when the first back-off ends, if all targets requested back-off and none accepts
     /// work for that reason.
-    pub fn held_until(&self) -> Option<Moment> {
-        self.held_until
+    pub fn backed_off_until(&self) -> Option<Moment> {
+        self.backed_off_until
     }
 
     /// Returns the number of free slots.
-    pub fn free_places(&self) -> u32 {
-        self.usable.iter().map(|load| load.free_places(self.now)).sum()
+    pub fn free_slots(&self) -> u32 {
+        self.usable.iter().map(|load| load.free_slots(self.now)).sum()
     }
 
     /// Returns the action for the first waiting request for which one is possible.
-    pub fn next_choice(&self) -> Option<LineChoice> {
-        if self.state.line.is_empty() {
+    pub fn next_action(&self) -> Option<QueueAction> {
+        if self.state.queue.is_empty() {
             return None;
         }
-        let free_slots = self.free_places();
+        let free_slots = self.free_slots();
         let peers = self.peers.claimants(self.now, self.state.key);
         let ordered = self.ordered().into_iter().enumerate();
         let mut ordered = ordered.map(|(position, (rank, work))| (position, rank, work));
         ordered.find_map(|(position, rank, work)| {
             if self.will_be_overtaken(position, rank, work) {
                 let (ticket, reason) = (work.ticket, RefusalReason::Overload);
-                return Some(LineChoice::Refuse { ticket, reason });
+                return Some(QueueAction::Refuse { ticket, reason });
             }
             self.choice_for(rank, work, free_slots, &peers)
         })
@@ -172,32 +174,32 @@
 
     fn choice_for(
         &self,
-        rank: LineRank,
-        work: &WaitingWork,
+        rank: QueueRank,
+        work: &WaitingRequest,
         free_slots: u32,
-        peers: &[PlaceClaimant<'_>],
-    ) -> Option<LineChoice> {
+        peers: &[SlotClaimant<'_>],
+    ) -> Option<QueueAction> {
         let ticket = work.ticket;
         if let Some(reason) = self.refusal_of(work) {
-            return Some(LineChoice::Refuse { ticket, reason });
+            return Some(QueueAction::Refuse { ticket, reason });
         }
         let on_trial = self.choose_trial_target(rank, work, peers);
         if on_trial.is_none() && free_slots == 0 {
             return None;
         }
         let (load, forecast) = on_trial.or_else(|| self.choose(rank, work, peers))?;
-        let (running, line) = (load.running(self.now), self.state.line.len());
-        let evidence = PlacingEvidence { forecast, running, line, late: rank.late };
-        Some(LineChoice::Place { ticket, target: load.key(), evidence })
+        let (running, waiting) = (load.running(self.now), self.state.queue.len());
+        let evidence = PlacementEvidence { forecast, running, waiting, late: rank.late };
+        Some(QueueAction::Place { ticket, target: load.key(), evidence })
     }
 
-    fn refusal_of(&self, work: &WaitingWork) -> Option<RefusalReason> {
+    fn refusal_of(&self, work: &WaitingRequest) -> Option<RefusalReason> {
         if self.now + REFUSAL_MARGIN >= work.leave_at {
             return Some(RefusalReason::OutOfTime);
         }
         // If it stayed queued, its caller would receive the same refusal just before it stops
         // waiting.
-        if self.held_until.is_some_and(|until| until + REFUSAL_MARGIN >= work.leave_at) {
+        if self.backed_off_until.is_some_and(|until| until + REFUSAL_MARGIN >= work.leave_at) {
             return Some(RefusalReason::HeldOff);
         }
         // Another VM may send requests that this one may not, and the caller's retry can reach that
@@ -213,12 +215,12 @@
         self.state.targets.keys.is_empty().then_some(RefusalReason::NoTarget)
     }
 
-    fn ordered(&self) -> Vec<(LineRank, &'a WaitingWork)> {
-        self.state.line.ordered(self.now, |work| self.earliest_first_event(work))
+    fn ordered(&self) -> Vec<(QueueRank, &'a WaitingRequest)> {
+        self.state.queue.ordered(self.now, |work| self.earliest_first_event(work))
     }
 
     /// The time from a dispatch to the first event at the fastest target.
-    fn earliest_first_event(&self, work: &WaitingWork) -> Duration {
+    fn earliest_first_event(&self, work: &WaitingRequest) -> Duration {
         let overhead = self.options.assumed.overhead;
         let first = |load: &&TargetLoad| match work.engine {
             true => overhead + load.estimate().reading_time(work.prompt.0),
@@ -232,15 +234,16 @@
     /// It would stay behind all of those, and would mostly be refused just before its caller stops
     /// waiting. An early refusal, at arrival where the queue already shows it, lets the caller
     /// retry when slots are free, so that more requests are served in a burst.
-    fn is_late_behind_others(&self, work: &WaitingWork) -> bool {
+    fn is_late_behind_others(&self, work: &WaitingRequest) -> bool {
         let missed_at = work.objective_at.before(self.earliest_first_event(work));
-        let accepted_late = missed_at <= work.arrived && !work.came_back;
+        let accepted_late = missed_at <= work.arrived && !work.is_retry;
         if work.begun || accepted_late || self.now <= missed_at {
             return false;
         }
-        let can_meet =
-            |other: &WaitingWork| self.now + self.earliest_first_event(other) <= other.objective_at;
-        self.state.line.iter().any(can_meet) || self.peers_ahead(ClaimClass::LEAST_ON_TIME) > 0
+        let can_meet = |other: &WaitingRequest| {
+            self.now + self.earliest_first_event(other) <= other.objective_at
+        };
+        self.state.queue.iter().any(can_meet) || self.peers_ahead(UrgencyClass::LEAST_ON_TIME) > 0
     }
 
     /// Whether a request at `position` of this VM's queue would meet its objective alone, but will
@@ -250,7 +253,7 @@
     /// caller more time to retry. In a burst, callers of the least urgent requests are refused
     /// after a small part of the objective instead of most of it, and as many requests are on time.
     /// The first request in the queue stays, so that a freed slot is used.
-    fn will_be_overtaken(&self, position: usize, rank: LineRank, work: &WaitingWork) -> bool {
+    fn will_be_overtaken(&self, position: usize, rank: QueueRank, work: &WaitingRequest) -> bool {
         if position == 0 || rank.late || work.begun {
             return false;
         }
@@ -265,25 +268,25 @@
     fn has_open_slot(
         &self,
         load: &TargetLoad,
-        rank: LineRank,
-        peers: &[PlaceClaimant<'_>],
+        rank: QueueRank,
+        peers: &[SlotClaimant<'_>],
     ) -> bool {
-        let slot = OpenPlace { target: load.key(), freed: load.freed() };
-        let own = PlaceClaimant { vm: &self.options.name, class: rank.class() };
+        let slot = FreeSlot { target: load.key(), freed: load.freed() };
+        let own = SlotClaimant { vm: &self.options.name, class: rank.class() };
         // A target that sets a limit gives each VM its own share, so no turns are needed.
         let is_turn = load.limit() != LimitShare::Unlimited
-            || place_turn::is_turn(self.now, self.sharing.turn_span, slot, own, peers);
-        load.free_places(self.now) > 0 && is_turn
+            || slot_turn::is_turn(self.now, self.sharing.turn_span, slot, own, peers);
+        load.free_slots(self.now) > 0 && is_turn
     }
 
-    fn peers_ahead(&self, class: ClaimClass) -> u32 {
+    fn peers_ahead(&self, class: UrgencyClass) -> u32 {
         let AheadCount { better, equal } = self.ahead_at_peers(class);
         better + equal
     }
 
     /// Counts the requests at peers that may get a slot before one of this class. It counts none
     /// where every target gives each VM its own share of a limit.
-    fn ahead_at_peers(&self, class: ClaimClass) -> AheadCount {
+    fn ahead_at_peers(&self, class: UrgencyClass) -> AheadCount {
         if self.limits.is_some() {
             return AheadCount::default();
         }
@@ -294,10 +297,10 @@
     /// there, so that no caller is exposed to a trial twice.
     fn choose_trial_target(
         &self,
-        rank: LineRank,
-        work: &WaitingWork,
-        peers: &[PlaceClaimant<'_>],
-    ) -> Option<(&'a TargetLoad, PlacingForecast)> {
+        rank: QueueRank,
+        work: &WaitingRequest,
+        peers: &[SlotClaimant<'_>],
+    ) -> Option<(&'a TargetLoad, PlacementForecast)> {
         if self.trial.is_empty() || work.begun || !work.excluded.is_empty() {
             return None;
         }
@@ -308,20 +311,20 @@
     fn best_of(
         &self,
         loads: impl Iterator<Item = &'a TargetLoad>,
-        need: &PlacingNeed,
-    ) -> Option<(&'a TargetLoad, PlacingForecast)> {
+        need: &PlacementNeed,
+    ) -> Option<(&'a TargetLoad, PlacementForecast)> {
         let (own, assumed) = (&self.options.data_centre, &self.options.assumed);
-        let forecast = |load| (load, placing::forecast(self.now, load, need, own, assumed));
+        let forecast = |load| (load, placement::forecast(self.now, load, need, own, assumed));
         loads
             .map(forecast)
             .min_by_key(|(load, it)| (!it.on_time, !it.keeps_pauses, it.cost, load.key()))
     }
 
-    fn need_of(&self, work: &WaitingWork) -> PlacingNeed {
-        PlacingNeed {
+    fn need_of(&self, work: &WaitingRequest) -> PlacementNeed {
+        PlacementNeed {
             engine: work.engine,
             prompt: work.prompt,
-            part: work.part,
+            prompt_hash: work.prompt_hash,
             events: work.events,
             objective_left: work.objective_at.since(self.now),
             pause: work.pause,
@@ -331,31 +334,32 @@
     /// Chooses the target for a request, or `None` if waiting is expected to serve it better.
     fn choose(
         &self,
-        rank: LineRank,
-        work: &WaitingWork,
-        peers: &[PlaceClaimant<'_>],
-    ) -> Option<(&'a TargetLoad, PlacingForecast)> {
+        rank: QueueRank,
+        work: &WaitingRequest,
+        peers: &[SlotClaimant<'_>],
+    ) -> Option<(&'a TargetLoad, PlacementForecast)> {
         let now = self.now;
         let need = self.need_of(work);
         let (own, assumed) = (&self.options.data_centre, &self.options.assumed);
         let permitted = self.usable.iter().filter(|load| !work.excluded.contains(&load.key()));
-        let all = permitted.map(|load| (*load, placing::forecast(now, load, &need, own, assumed)));
+        let all =
+            permitted.map(|load| (*load, placement::forecast(now, load, &need, own, assumed)));
         let (open, busy): (Vec<_>, Vec<_>) =
             all.partition(|(load, _)| self.has_open_slot(load, rank, peers));
         let best = open.into_iter().min_by_key(preference_order)?;
         let (_, forecast) = best;
         let in_time = forecast.keeps_pauses && forecast.first < need.objective_left;
-        if forecast.on_time || (in_time && !forecast.doubtful) {
+        if forecast.on_time || (in_time && !forecast.suspected) {
             return Some(best);
         }
         // No target with a free slot serves the request on time, but a busy one may do so later. A
         // late request also waits if the free slot would delay the streams that run beside it: one
         // late answer costs less than pauses in all of those streams.
-        let better = |load: &TargetLoad, it: &PlacingForecast| match rank.late {
+        let better = |load: &TargetLoad, it: &PlacementForecast| match rank.late {
             true => it.keeps_pauses && !forecast.keeps_pauses,
             false => {
                 let wait = self.slot_wait(load);
-                it.keeps_pauses && !it.doubtful && it.first + wait < need.objective_left
+                it.keeps_pauses && !it.suspected && it.first + wait < need.objective_left
             }
         };
         let worth_waiting = busy.iter().any(|(load, it)| better(load, it));
@@ -364,7 +368,7 @@
 
     /// The expected time until a busy target frees one of its slots.
     fn slot_wait(&self, load: &TargetLoad) -> Duration {
-        self.state.hold.unwrap_or_default() / load.entry().slots.max(1)
+        self.state.slot_time.unwrap_or_default() / load.entry().slots.max(1)
     }
 
     /// Whether a request that has just joined the queue would miss its objective because of the
@@ -373,7 +377,7 @@
     ///
     /// A request that must miss its objective in any case, because its prompt is long, is accepted.
     pub fn is_hopeless(&self, ticket: RequestSequence) -> bool {
-        let Some(work) = self.state.line.iter().find(|work| work.ticket == ticket) else {
+        let Some(work) = self.state.queue.iter().find(|work| work.ticket == ticket) else {
             return false;
         };
         let best = self.earliest_first_event(work);
@@ -387,8 +391,8 @@
     /// Returns the time until a request of this rank, or of the last rank, gets a slot. The time is
     /// zero until a request was observed to free its slot, since an assumed time must not cause
     /// refusals.
-    pub fn expected_wait(&self, rank: Option<LineRank>) -> Duration {
-        let before = |other: LineRank| rank.is_none_or(|rank| other < rank);
+    pub fn expected_wait(&self, rank: Option<QueueRank>) -> Duration {
+        let before = |other: QueueRank| rank.is_none_or(|rank| other < rank);
         let own = self.ordered().iter().filter(|(other, _)| before(*other)).count();
         let peers = match rank {
             Some(rank) => self.peers_ahead(rank.class()),
@@ -400,24 +404,24 @@
 
     /// The time until slots were assigned to `ahead` requests and to the more urgent ones that
     /// arrive meanwhile.
-    fn wait_behind(&self, ahead: u32, rank: Option<LineRank>) -> Duration {
+    fn wait_behind(&self, ahead: u32, rank: Option<QueueRank>) -> Duration {
         let slots: u32 = self.usable.iter().map(|load| load.entry().slots).sum();
-        let hold = self.state.hold.unwrap_or_default();
+        let slot_time = self.state.slot_time.unwrap_or_default();
         if let Some(limits) = &self.limits {
-            let first = self.held_until.map_or(Duration::ZERO, |until| until.since(self.now));
+            let first = self.backed_off_until.map_or(Duration::ZERO, |until| until.since(self.now));
             return first + limit_share::time_for(ahead as usize, limits.iter());
         }
-        let wait = hold.saturating_mul(ahead) / slots.max(1);
+        let wait = slot_time.saturating_mul(ahead) / slots.max(1);
         let Some(rank) = rank else { return wait };
         let rate = self.state.arrivals.more_urgent_rate(self.now, rank.class());
-        let busy = rate * f64::from(self.sharing.vms) * hold.as_secs_f64();
-        wait.mul_f64(recent_arrivals::stretch(busy / f64::from(slots.max(1))))
+        let busy = rate * f64::from(self.sharing.vms) * slot_time.as_secs_f64();
+        wait.mul_f64(recent_arrivals::delay_factor(busy / f64::from(slots.max(1))))
     }
 
     /// Returns the counts of waiting requests that peers receive.
     pub fn queue_reports(&self) -> Vec<QueueReport> {
-        let mut marks: BTreeMap<ClaimClass, u16> = BTreeMap::new();
-        for work in self.state.line.iter() {
+        let mut marks: BTreeMap<UrgencyClass, u16> = BTreeMap::new();
+        for work in self.state.queue.iter() {
             let rank = work.rank(self.now, self.earliest_first_event(work));
             let count = marks.entry(rank.class()).or_default();
             *count = count.saturating_add(1);
@@ -438,7 +442,7 @@
 
 /// Returns when a target's back-off ends; `None` if it accepts requests now.
 fn back_off_end(now: Moment, load: &TargetLoad) -> Option<Moment> {
-    let until = load.health().held_until().max(load.limit().ready_at(now));
+    let until = load.health().backed_off_until().max(load.limit().ready_at(now));
     Some(until).filter(|at| *at > now)
 }
 
@@ -452,7 +456,7 @@
 
 /// The order in which targets are preferred; the smallest key is the best.
 fn preference_order(
-    (load, it): &(&TargetLoad, PlacingForecast),
+    (load, it): &(&TargetLoad, PlacementForecast),
 ) -> (bool, bool, Duration, TargetKey) {
     (!it.on_time, !it.keeps_pauses, it.cost, load.key())
 }
--- a/crates/ryetide-core/src/quota.rs
+++ b/crates/ryetide-core/src/quota.rs
@@ -154,7 +154,7 @@
     /// the share. VMs that start together each begin with a small share of the burst. If the level
     /// stayed there once they reach each other, organisations that have used nothing would get much
     /// less than their rate and burst in the first second.
-    pub fn set_heard_part(&mut self, share: f64) {
+    pub fn set_reachable_share(&mut self, share: f64) {
         let share = share.clamp(0.0, 1.0);
         let change = if self.reachable_share > 0.0 { share / self.reachable_share } else { 1.0 };
         self.reachable_share = share;
@@ -179,7 +179,7 @@
         rule: &QuotaRule,
         charge: QuotaCharge,
     ) -> Result<(), Duration> {
-        self.take_above(now, rule, charge, 0.0)
+        self.take_with_headroom(now, rule, charge, 0.0)
     }
 
     /// Charges a request to its organisation's bucket, if that leaves `headroom` units in it.
@@ -187,7 +187,7 @@
     /// # Errors
     ///
     /// Returns the time until enough units are available, if they are not available now.
-    pub fn take_above(
+    pub fn take_with_headroom(
         &mut self,
         now: Moment,
         rule: &QuotaRule,
@@ -237,7 +237,7 @@
     }
 
     /// Refunds the units of a request that did not run.
-    pub fn give_back(&mut self, charge: QuotaCharge) {
+    pub fn refund(&mut self, charge: QuotaCharge) {
         if let Some(bucket) = self.buckets.get_mut(&charge.key) {
             bucket.level += charge.units as f64;
             bucket.spent = bucket.spent.saturating_sub(charge.units);
@@ -256,7 +256,7 @@
     /// peer's own share of the rate, which this VM did not add to its buckets. Counted in full at
     /// the end of a network partition, it would put all organisations in debt at once, and their
     /// requests would be refused on both sides.
-    pub fn note_peer(
+    pub fn record_peer_total(
         &mut self,
         now: Moment,
         peer: &VmName,
@@ -284,7 +284,7 @@
     }
 
     /// Records that a peer has sent all its totals.
-    pub fn note_whole(&mut self, peer: &VmName) {
+    pub fn record_all_totals(&mut self, peer: &VmName) {
         if !self.complete_peers.contains(peer) {
             self.complete_peers.insert(peer.clone());
         }
--- a/crates/ryetide-core/src/quota_desk.rs
+++ b/crates/ryetide-core/src/quota_allocator.rs
@@ -56,7 +56,7 @@
 
 /// A request for units.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaAsk {
+pub struct QuotaRequest {
     /// The request.
     pub ticket: RequestSequence,
     /// The organisation and the units.
@@ -73,10 +73,10 @@
 
 /// The immediate result of a request for units.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum QuotaAnswer {
+pub enum QuotaReply {
     /// The units were charged.
     Taken,
-    /// The request waits; a [`QuotaVerdict`] follows.
+    /// The request waits; a [`QuotaWaitResult`] follows.
     Waits,
     /// The quota is used up; the caller should retry after this delay.
     Over(Duration),
@@ -84,7 +84,7 @@
 
 /// The result of a wait for units.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct QuotaVerdict {
+pub struct QuotaWaitResult {
     /// The request.
     pub ticket: RequestSequence,
     /// The units that were charged, or would have been.
@@ -108,7 +108,7 @@
 /// use ryetide_core::{
 ///     ids::{OrganisationKey, RequestSequence},
 ///     quota::{QuotaCharge, QuotaRule, QuotaUnit},
-///     quota_desk::{QuotaAnswer, QuotaAsk, QuotaClass, QuotaDesk},
+///     quota_allocator::{QuotaReply, QuotaRequest, QuotaClass, QuotaAllocator},
 ///     units::{Moment, TierRank},
 /// };
 ///
@@ -116,19 +116,19 @@
 /// let class = QuotaClass { tier: TierRank(0), route_tier: TierRank(0) };
 /// let charge = QuotaCharge { key: OrganisationKey(7), units: 1 };
 /// let (now, ticket) = (Moment::from_millis(1), RequestSequence(1));
-/// let ask = QuotaAsk { ticket, charge, rule, class, late: false, wait_until: now };
-/// let mut allocator = QuotaDesk::default();
-/// assert_eq!(allocator.ask(now, ask), QuotaAnswer::Taken);
-/// assert!(matches!(allocator.ask(now, ask), QuotaAnswer::Over(_)));
+/// let ask = QuotaRequest { ticket, charge, rule, class, late: false, wait_until: now };
+/// let mut allocator = QuotaAllocator::default();
+/// assert_eq!(allocator.ask(now, ask), QuotaReply::Taken);
+/// assert!(matches!(allocator.ask(now, ask), QuotaReply::Over(_)));
 /// ```
 #[derive(Debug, Default)]
-pub struct QuotaDesk {
+pub struct QuotaAllocator {
     ledger: QuotaLedger,
-    waiting: Vec<QuotaAsk>,
+    waiting: Vec<QuotaRequest>,
     costs: BTreeMap<(OrganisationKey, QuotaClass), ClassCost>,
 }
 
-impl QuotaDesk {
+impl QuotaAllocator {
     /// Returns the buckets.
     pub fn ledger(&self) -> &QuotaLedger {
         &self.ledger
@@ -140,7 +140,7 @@
     }
 
     /// Whether any request waits for units.
-    pub fn is_waited_at(&self) -> bool {
+    pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
@@ -150,44 +150,46 @@
     }
 
     /// Handles a request for units: charges it, queues it, or refuses it.
-    pub fn ask(&mut self, now: Moment, ask: QuotaAsk) -> QuotaAnswer {
+    pub fn ask(&mut self, now: Moment, ask: QuotaRequest) -> QuotaReply {
         self.record_cost(now, &ask);
         let key = ask.charge.key;
         let others_first =
             self.waiting.iter().any(|it| it.charge.key == key && goes_before(it, &ask));
         let headroom = self.headroom(now, &ask);
         // Units that a request before this one waits for are not available to it.
-        if !others_first && self.ledger.take_above(now, &ask.rule, ask.charge, headroom).is_ok() {
-            return QuotaAnswer::Taken;
+        if !others_first
+            && self.ledger.take_with_headroom(now, &ask.rule, ask.charge, headroom).is_ok()
+        {
+            return QuotaReply::Taken;
         }
         let wait = self.expected_wait(now, &ask, headroom);
         if now + wait > ask.wait_until {
-            return QuotaAnswer::Over(wait);
+            return QuotaReply::Over(wait);
         }
         self.waiting.push(ask);
-        QuotaAnswer::Waits
+        QuotaReply::Waits
     }
 
     /// Allocates the refilled units to waiting requests, and ends the waits that have reached their
     /// limit.
-    pub fn advance(&mut self, now: Moment) -> Vec<QuotaVerdict> {
+    pub fn advance(&mut self, now: Moment) -> Vec<QuotaWaitResult> {
         let mut verdicts = Vec::new();
         self.waiting.sort_by_key(order);
         let mut blocked: Vec<OrganisationKey> = Vec::new();
         for ask in std::mem::take(&mut self.waiting) {
-            let QuotaAsk { ticket, charge, .. } = ask;
+            let QuotaRequest { ticket, charge, .. } = ask;
             let headroom = self.headroom(now, &ask);
             let taken = if blocked.contains(&charge.key) {
                 // An earlier request of the organisation still waits for its units.
                 false
             } else {
-                self.ledger.take_above(now, &ask.rule, charge, headroom).is_ok()
+                self.ledger.take_with_headroom(now, &ask.rule, charge, headroom).is_ok()
             };
             if taken {
-                verdicts.push(QuotaVerdict { ticket, charge, outcome: Ok(()) });
+                verdicts.push(QuotaWaitResult { ticket, charge, outcome: Ok(()) });
             } else if now >= ask.wait_until {
                 let wait = self.expected_wait(now, &ask, headroom);
-                verdicts.push(QuotaVerdict { ticket, charge, outcome: Err(wait) });
+                verdicts.push(QuotaWaitResult { ticket, charge, outcome: Err(wait) });
             } else {
                 blocked.push(charge.key);
                 self.waiting.push(ask);
@@ -202,12 +204,12 @@
     }
 
     /// Refunds the units of a request that did not run.
-    pub fn give_back(&mut self, charge: QuotaCharge) {
-        self.ledger.give_back(charge);
+    pub fn refund(&mut self, charge: QuotaCharge) {
+        self.ledger.refund(charge);
     }
 
     /// Returns the units that must be left after `ask` is charged.
-    fn headroom(&self, now: Moment, ask: &QuotaAsk) -> f64 {
+    fn headroom(&self, now: Moment, ask: &QuotaRequest) -> f64 {
         let key = ask.charge.key;
         let first = (key, QuotaClass { tier: TierRank(0), route_tier: TierRank(0) });
         let urgent = self.costs.range(first..(key, ask.class));
@@ -220,14 +222,14 @@
 
     /// Returns the time until the units for the requests before `ask`, for `ask` itself and for its
     /// headroom are available.
-    fn expected_wait(&self, now: Moment, ask: &QuotaAsk, headroom: f64) -> Duration {
+    fn expected_wait(&self, now: Moment, ask: &QuotaRequest, headroom: f64) -> Duration {
         let key = ask.charge.key;
         let before = self.waiting.iter().filter(|it| it.charge.key == key && goes_before(it, ask));
         let before: u64 = before.map(|it| it.charge.units).sum();
         self.ledger.time_until(now, &ask.rule, ask.charge, headroom + before as f64)
     }
 
-    fn record_cost(&mut self, now: Moment, ask: &QuotaAsk) {
+    fn record_cost(&mut self, now: Moment, ask: &QuotaRequest) {
         let units = ask.charge.units as f64;
         let new = ClassCost { mean: units, seen: now };
         let cost = self.costs.entry((ask.charge.key, ask.class)).or_insert(new);
@@ -236,10 +238,10 @@
     }
 }
 
-fn order(ask: &QuotaAsk) -> (QuotaClass, bool, RequestSequence) {
+fn order(ask: &QuotaRequest) -> (QuotaClass, bool, RequestSequence) {
     (ask.class, ask.late, ask.ticket)
 }
 
-fn goes_before(other: &QuotaAsk, ask: &QuotaAsk) -> bool {
+fn goes_before(other: &QuotaRequest, ask: &QuotaRequest) -> bool {
     order(other) < order(ask)
 }
--- a/crates/ryetide-core/src/recent_arrivals.rs
+++ b/crates/ryetide-core/src/recent_arrivals.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use crate::{place_turn::ClaimClass, units::Moment};
+use crate::{slot_turn::UrgencyClass, units::Moment};
 
 /// The span over which arrivals count: long enough for some ten arrivals at a VM with five requests
 /// per second, and short enough to show the start of a burst of three seconds.
@@ -22,22 +22,22 @@
 ///
 /// ```
 /// use ryetide_core::{
-///     place_turn::ClaimClass, recent_arrivals::RecentArrivals, units::{Moment, TierRank},
+///     slot_turn::UrgencyClass, recent_arrivals::RecentArrivals, units::{Moment, TierRank},
 /// };
 ///
-/// let class = |tier| ClaimClass { late: false, tier: TierRank(tier), route_tier: TierRank(tier) };
+/// let class = |tier| UrgencyClass { late: false, tier: TierRank(tier), route_tier: TierRank(tier) };
 /// let mut arrivals = RecentArrivals::default();
-/// (1..=10).for_each(|it| arrivals.note(Moment::from_millis(it * 100), class(0)));
+/// (1..=10).for_each(|it| arrivals.record(Moment::from_millis(it * 100), class(0)));
 /// let now = Moment::from_millis(1_000);
 /// assert_eq!(arrivals.more_urgent_rate(now, class(1)), 5.0);
 /// assert_eq!(arrivals.more_urgent_rate(now, class(0)), 0.0);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct RecentArrivals(VecDeque<(Moment, ClaimClass)>);
+pub struct RecentArrivals(VecDeque<(Moment, UrgencyClass)>);
 
 impl RecentArrivals {
     /// Records an arrival.
-    pub fn note(&mut self, now: Moment, class: ClaimClass) {
+    pub fn record(&mut self, now: Moment, class: UrgencyClass) {
         self.0.push_back((now, class));
         while self.0.front().is_some_and(|(at, _)| now.since(*at) >= SPAN) {
             self.0.pop_front();
@@ -45,7 +45,7 @@
     }
 
     /// Returns the recent rate of requests more urgent than `class`, per second.
-    pub fn more_urgent_rate(&self, now: Moment, class: ClaimClass) -> f64 {
+    pub fn more_urgent_rate(&self, now: Moment, class: UrgencyClass) -> f64 {
         let recent = self.0.iter().filter(|(at, _)| now.since(*at) < SPAN);
         recent.filter(|(_, other)| *other < class).count() as f64 / SPAN.as_secs_f64()
     }
@@ -53,6 +53,6 @@
 
 /// Returns the factor by which a wait grows when requests that arrive meanwhile take this share of
 /// all slots first.
-pub fn stretch(share: f64) -> f64 {
+pub fn delay_factor(share: f64) -> f64 {
     1.0 / (1.0 - share.clamp(0.0, MAX_SHARE))
 }
--- a/crates/ryetide-core/src/retry_budget.rs
+++ b/crates/ryetide-core/src/retry_budget.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryRule {
     /// Retries as a share of the requests.
-    pub part: f64,
+    pub share: f64,
     /// The window over which both are counted.
     pub window: Duration,
     /// Retries in each window beyond the share, over all VMs together.
@@ -22,7 +22,7 @@
 
 impl Default for RetryRule {
     fn default() -> Self {
-        Self { part: 0.1, window: Duration::from_secs(10), slack: 10.0 }
+        Self { share: 0.1, window: Duration::from_secs(10), slack: 10.0 }
     }
 }
 
@@ -72,8 +72,8 @@
     }
 
     /// Records a request for `service`, which adds credit for a share of a retry.
-    pub fn note_request(&mut self, now: Moment, service: &ServiceName) {
-        let earned = self.rule.part * USED_SHARE;
+    pub fn record_request(&mut self, now: Moment, service: &ServiceName) {
+        let earned = self.rule.share * USED_SHARE;
         let slack = self.slack_share();
         let budget = self.budget(now, service);
         budget.earned += earned;
--- a/crates/ryetide-core/src/comeback_time.rs
+++ b/crates/ryetide-core/src/retry_delay.rs
@@ -22,25 +22,25 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use ryetide_core::comeback_time::ComebackTime;
+/// use ryetide_core::retry_delay::RetryDelay;
 ///
-/// let mut delay = ComebackTime::new(1);
-/// let retry_after = delay.after_line(Duration::from_secs(2));
+/// let mut delay = RetryDelay::new(1);
+/// let retry_after = delay.after_queue(Duration::from_secs(2));
 /// assert!(retry_after >= Duration::from_secs(2) && retry_after < Duration::from_secs(3));
 /// ```
 #[derive(Debug)]
-pub struct ComebackTime {
+pub struct RetryDelay {
     rng: SmallRng,
 }
 
-impl ComebackTime {
+impl RetryDelay {
     /// Creates a source of delays; the same seed gives the same delays.
     pub fn new(seed: u64) -> Self {
         Self { rng: SmallRng::seed_from_u64(seed) }
     }
 
     /// Returns the delay for a caller refused because of a queue with this expected wait.
-    pub fn after_line(&mut self, wait: Duration) -> Duration {
+    pub fn after_queue(&mut self, wait: Duration) -> Duration {
         self.randomise(wait.clamp(MIN_DELAY, MAX_DELAY))
     }
 
@@ -51,7 +51,7 @@
 
     /// Returns the delay for a caller of a service whose targets have requested back-off for
     /// `wait`.
-    pub fn after_hold_off(&mut self, wait: Duration) -> Duration {
+    pub fn after_back_off(&mut self, wait: Duration) -> Duration {
         self.randomise(wait.max(MIN_DELAY))
     }
 
--- a/crates/ryetide-core/src/retry.rs
+++ b/crates/ryetide-core/src/retry_planner.rs
@@ -17,13 +17,13 @@
 /// Computes retry delays from the time that waiting requests, and the expected retries of callers
 /// refused before, will take to serve.
 #[derive(Debug)]
-pub struct RetryPromise {
+pub struct RetryPlanner {
     /// The expected work of refused callers, which decreases as time passes.
     promised: Duration,
     promised_at: Moment,
 }
 
-impl RetryPromise {
+impl RetryPlanner {
     /// Creates a calculator for which no caller was refused yet.
     pub fn new(now: Moment) -> Self {
         Self { promised: Duration::ZERO, promised_at: now }
--- a/crates/ryetide-core/src/scheduler.rs
+++ b/crates/ryetide-core/src/scheduler.rs
@@ -16,26 +16,26 @@
 
 use crate::{
     cell_plan::{CellMember, CellPlan},
-    comeback_time::ComebackTime,
     crash_ledger::{CrashLedger, CrashedRun, QuarantineStatus},
-    decision::{Decision, PlacingEvidence, RefusalReason, RunEnd},
+    decision::{Decision, PlacementEvidence, RefusalReason, RunEnd},
     digest_route::DigestRouter,
     digest_timing::DigestTiming,
     digest_tracker::DigestTracker,
     ids::{RequestSequence, ServiceName, TargetKey, VmName},
-    line_view::{LineChoice, LineView, PlaceSharing, ServiceLine, UsedTargets},
     load_digest::FleetState,
     peer_digests::{FeedLag, PeerDigests},
+    queue_view::{QueueAction, QueueView, ServiceQueue, SlotSharing, UsedTargets},
     quota::QuotaCharge,
-    quota_desk::{QuotaAnswer, QuotaAsk, QuotaDesk, QuotaVerdict},
+    quota_allocator::{QuotaAllocator, QuotaReply, QuotaRequest, QuotaWaitResult},
     request_fingerprint::RequestFingerprint,
     retry_budget::{RetryBudget, RetryRule},
+    retry_delay::RetryDelay,
     rollout_manager::{RolloutManager, TargetUse},
     scheduler_options::SchedulerOptions,
     target_limit::LimitTable,
     target_load::{TargetEntry, TargetLoad},
     units::Moment,
-    wait_line::WaitingWork,
+    wait_queue::WaitingRequest,
     watcher_selection::WatchOrder,
 };
 
@@ -49,22 +49,22 @@
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) options: SchedulerOptions,
-    retry_delay: ComebackTime,
-    pub(crate) services: BTreeMap<ServiceName, ServiceLine>,
+    retry_delay: RetryDelay,
+    pub(crate) services: BTreeMap<ServiceName, ServiceQueue>,
     pub(crate) targets: BTreeMap<TargetKey, TargetLoad>,
     pub(crate) runs: HashMap<RequestSequence, PlacedRun>,
     pub(crate) peers: PeerDigests,
     /// The targets that each peer's last digest listed.
     pub(crate) reported_targets: HashMap<VmName, BTreeSet<TargetKey>>,
-    pub(crate) quotas: QuotaDesk,
-    quota_results: Vec<QuotaVerdict>,
+    pub(crate) quotas: QuotaAllocator,
+    quota_results: Vec<QuotaWaitResult>,
     retry_budget: RetryBudget,
     pub(crate) crashes: CrashLedger,
     pub(crate) limits: LimitTable,
     /// When the shares of target limits were last computed; `None` when they must be recomputed.
     pub(crate) shares_updated_at: Option<Moment>,
     /// Until when a changed limit must reach peers soon.
-    pub(crate) limits_fresh_until: Moment,
+    pub(crate) limits_urgent_until: Moment,
     /// Whether this VM is shutting down.
     pub(crate) leaving: bool,
     pub(crate) rollouts: RolloutManager,
@@ -92,7 +92,7 @@
     pub fn new(options: SchedulerOptions) -> Self {
         let plan = CellPlan::new(&options.member(), &[], &[]);
         Self {
-            retry_delay: ComebackTime::new(options.seed),
+            retry_delay: RetryDelay::new(options.seed),
             route: DigestRouter::new(options.seed),
             retry_budget: RetryBudget::new(options.retry),
             rollouts: RolloutManager::new(options.name.clone(), options.rollout),
@@ -103,12 +103,12 @@
             runs: HashMap::new(),
             peers: PeerDigests::default(),
             reported_targets: HashMap::new(),
-            quotas: QuotaDesk::default(),
+            quotas: QuotaAllocator::default(),
             quota_results: Vec::new(),
             crashes: CrashLedger::default(),
             limits: LimitTable::default(),
             shares_updated_at: None,
-            limits_fresh_until: Moment::default(),
+            limits_urgent_until: Moment::default(),
             leaving: false,
             digest_tracker: DigestTracker::default(),
             digest_timing: DigestTiming::direct(0),
@@ -136,13 +136,13 @@
             self.targets.insert(key, load);
         }
         self.shares_updated_at = None;
-        self.deal_targets();
+        self.update_used_targets();
         self.plan_cells(now);
         self.advance(now);
     }
 
     /// Determines the targets that this VM's cell uses, separately for versions on trial.
-    pub(crate) fn deal_targets(&mut self) {
+    pub(crate) fn update_used_targets(&mut self) {
         let mut by_use: BTreeMap<(ServiceName, bool), Vec<&TargetEntry>> = BTreeMap::new();
         for load in self.targets.values() {
             let entry = load.entry();
@@ -181,7 +181,7 @@
         let plan = CellPlan::new(&self.options.member(), &members, &targets);
         if plan != self.plan {
             self.plan = plan;
-            self.deal_targets();
+            self.update_used_targets();
         }
         let peers = members.iter().filter(|member| self.plan.is_cell_peer(&member.name)).count();
         self.cell_size = u32::try_from(peers).unwrap_or(u32::MAX).saturating_add(1);
@@ -211,7 +211,7 @@
     /// Replaces the list of the other entry VMs.
     pub fn list_peers(&mut self, now: Moment, listed: &[CellMember]) {
         self.peers.list(now, listed);
-        self.note_peers(now);
+        self.update_peer_counts(now);
         self.plan_cells(now);
     }
 
@@ -222,15 +222,15 @@
 
     /// Charges a request to its organisation's quota, queues it until units are available, or
     /// returns the delay after which its caller should retry.
-    pub fn ask_quota(&mut self, now: Moment, ask: QuotaAsk) -> QuotaAnswer {
+    pub fn request_quota(&mut self, now: Moment, ask: QuotaRequest) -> QuotaReply {
         match self.quotas.ask(now, ask) {
-            QuotaAnswer::Over(wait) => QuotaAnswer::Over(self.retry_delay.after_quota(wait)),
+            QuotaReply::Over(wait) => QuotaReply::Over(self.retry_delay.after_quota(wait)),
             answer => answer,
         }
     }
 
     /// Returns the results of quota waits that ended since the last call.
-    pub fn take_verdicts(&mut self) -> Vec<QuotaVerdict> {
+    pub fn take_quota_results(&mut self) -> Vec<QuotaWaitResult> {
         std::mem::take(&mut self.quota_results)
     }
 
@@ -242,16 +242,16 @@
     }
 
     /// Refunds the quota units of a request that did not run.
-    pub fn give_back(&mut self, charge: QuotaCharge) {
-        self.quotas.give_back(charge);
+    pub fn refund(&mut self, charge: QuotaCharge) {
+        self.quotas.refund(charge);
     }
 
     /// Accepts a new request: it is assigned to a target at once, queued, or refused.
-    pub fn enter(&mut self, now: Moment, work: WaitingWork) {
+    pub fn enter(&mut self, now: Moment, work: WaitingRequest) {
         let (service, ticket) = (work.service.clone(), work.ticket);
-        self.retry_budget.note_request(now, &service);
+        self.retry_budget.record_request(now, &service);
         let class = work.rank(now, Duration::ZERO).class();
-        self.service_state(&service).arrivals.note(now, class);
+        self.service_state(&service).arrivals.record(now, class);
         self.enqueue(now, work);
         self.refuse_if_hopeless(now, &service, ticket);
     }
@@ -261,7 +261,7 @@
     ///
     /// A request that did not arrive at its target (`arrived_there` is `false`) is not charged to
     /// the budget.
-    pub fn enter_again(&mut self, now: Moment, work: WaitingWork, arrived_there: bool) -> bool {
+    pub fn enter_again(&mut self, now: Moment, work: WaitingRequest, arrived_there: bool) -> bool {
         if arrived_there && !self.retry_budget.take(now, &work.service) {
             return false;
         }
@@ -269,9 +269,9 @@
         true
     }
 
-    fn enqueue(&mut self, now: Moment, work: WaitingWork) {
+    fn enqueue(&mut self, now: Moment, work: WaitingRequest) {
         let service = work.service.clone();
-        self.service_state(&service).line.push(work);
+        self.service_state(&service).queue.push(work);
         self.changed = true;
         self.process_queue(now, &service);
     }
@@ -279,23 +279,23 @@
     /// Removes a waiting request; returns whether it was waiting.
     pub fn leave(&mut self, ticket: RequestSequence) -> bool {
         self.quotas.leave(ticket);
-        let lines = self.services.values_mut();
-        let left = lines.filter_map(|state| state.line.remove(ticket)).next().is_some();
+        let queues = self.services.values_mut();
+        let left = queues.filter_map(|state| state.queue.remove(ticket)).next().is_some();
         self.changed |= left;
         left
     }
 
     /// Records an event of a response stream.
-    pub fn note_event(&mut self, now: Moment, ticket: RequestSequence) {
+    pub fn record_event(&mut self, now: Moment, ticket: RequestSequence) {
         let Some(run) = self.runs.get_mut(&ticket) else { return };
         let last = run.last_event.replace(now);
         let Some(load) = self.targets.get_mut(&run.target) else { return };
         match last {
             None => {
-                load.note_first(now, &self.options.assumed, ticket);
+                load.record_first(now, &self.options.assumed, ticket);
                 load.refresh(now, &self.options.assumed);
             }
-            Some(last) => load.note_event(now, now.since(last)),
+            Some(last) => load.record_event(now, now.since(last)),
         }
     }
 
@@ -306,9 +306,9 @@
         if let Some(load) = self.targets.get_mut(&run.target) {
             load.end(now, ticket, end == RunEnd::Whole);
             match end {
-                RunEnd::Whole => load.health_mut().note_success(now),
-                RunEnd::Failed => load.health_mut().note_failure(now),
-                RunEnd::Unreachable => load.health_mut().note_unreachable(now),
+                RunEnd::Whole => load.health_mut().record_success(now),
+                RunEnd::Failed => load.health_mut().record_failure(now),
+                RunEnd::Unreachable => load.health_mut().record_unreachable(now),
                 RunEnd::TurnedAway | RunEnd::Abandoned => {}
             }
             load.refresh(now, &self.options.assumed);
@@ -316,9 +316,9 @@
         if end == RunEnd::Whole {
             let state = self.service_state(&run.service);
             let taken = now.since(run.since);
-            let mean = state.hold.unwrap_or(taken).as_secs_f64();
+            let mean = state.slot_time.unwrap_or(taken).as_secs_f64();
             let moved = mean + (taken.as_secs_f64() - mean) * SLOT_TIME_WEIGHT;
-            state.hold = Some(Duration::from_secs_f64(moved));
+            state.slot_time = Some(Duration::from_secs_f64(moved));
         }
         self.changed = true;
         self.process_queue(now, &run.service);
@@ -326,15 +326,15 @@
 
     /// Processes everything that is due at `now`.
     pub fn advance(&mut self, now: Moment) {
-        self.note_peers(now);
+        self.update_peer_counts(now);
         self.advance_quotas(now);
-        self.pump_all(now);
+        self.process_queues(now);
     }
 
     /// Returns when [`Scheduler::advance`] must be called next, or `None` while no request waits.
     pub fn next_wake(&self, now: Moment) -> Option<Moment> {
-        let waits = self.services.values().any(|state| !state.line.is_empty());
-        let waits = waits || self.quotas.is_waited_at();
+        let waits = self.services.values().any(|state| !state.queue.is_empty());
+        let waits = waits || self.quotas.has_waiting();
         waits.then(|| now + QUEUE_INTERVAL)
     }
 
@@ -383,9 +383,9 @@
     }
 
     /// Records that a target asked this VM to send it no requests for `span`.
-    pub fn hold_off(&mut self, now: Moment, target: TargetKey, span: Duration) {
+    pub fn back_off(&mut self, now: Moment, target: TargetKey, span: Duration) {
         if let Some(load) = self.targets.get_mut(&target) {
-            load.health_mut().hold_off(now, span);
+            load.health_mut().back_off(now, span);
         }
     }
 
@@ -417,7 +417,7 @@
 
     /// Returns the number of requests that wait at this VM.
     pub fn waiting(&self) -> usize {
-        self.services.values().map(|state| state.line.len()).sum()
+        self.services.values().map(|state| state.queue.len()).sum()
     }
 
     /// Returns the number of requests that this VM has running at targets.
@@ -430,17 +430,17 @@
         self.peers.reachable_share(now)
     }
 
-    fn service_state(&mut self, service: &ServiceName) -> &mut ServiceLine {
-        self.services.entry(service.clone()).or_insert_with(|| ServiceLine::new(service))
+    fn service_state(&mut self, service: &ServiceName) -> &mut ServiceQueue {
+        self.services.entry(service.clone()).or_insert_with(|| ServiceQueue::new(service))
     }
 
-    pub(crate) fn note_peers(&mut self, now: Moment) {
-        self.quotas.ledger_mut().set_heard_part(self.peers.reachable_share(now));
+    pub(crate) fn update_peer_counts(&mut self, now: Moment) {
+        self.quotas.ledger_mut().set_reachable_share(self.peers.reachable_share(now));
         self.retry_budget.set_vm_count(self.peers.known_count(now));
     }
 
-    pub(crate) fn pump_all(&mut self, now: Moment) {
-        let waits = self.services.iter().filter(|(_, state)| !state.line.is_empty());
+    pub(crate) fn process_queues(&mut self, now: Moment) {
+        let waits = self.services.iter().filter(|(_, state)| !state.queue.is_empty());
         let names: Vec<ServiceName> = waits.map(|(name, _)| name.clone()).collect();
         for name in names {
             self.process_queue(now, &name);
@@ -450,12 +450,12 @@
     /// Makes all decisions about a service's queue that are possible now.
     fn process_queue(&mut self, now: Moment, service: &ServiceName) {
         self.update_limit_shares(now);
-        while let Some(choice) = self.view(now, service).and_then(|view| view.next_choice()) {
+        while let Some(choice) = self.view(now, service).and_then(|view| view.next_action()) {
             match choice {
-                LineChoice::Place { ticket, target, evidence } => {
+                QueueAction::Place { ticket, target, evidence } => {
                     self.place(now, service, ticket, target, evidence);
                 }
-                LineChoice::Refuse { ticket, reason } => self.refuse(now, service, ticket, reason),
+                QueueAction::Refuse { ticket, reason } => self.refuse(now, service, ticket, reason),
             }
         }
     }
@@ -466,16 +466,16 @@
         service: &ServiceName,
         ticket: RequestSequence,
         target: TargetKey,
-        evidence: PlacingEvidence,
+        evidence: PlacementEvidence,
     ) {
-        let Some(work) = self.service_state(service).line.remove(ticket) else { return };
+        let Some(work) = self.service_state(service).queue.remove(ticket) else { return };
         let assumed = self.options.assumed;
         let Some(load) = self.targets.get_mut(&target) else { return };
         load.begin(now, &assumed, ticket, evidence.forecast.to_read);
         self.digest_tracker.record_touched(now, target);
-        if let Some(part) = work.part {
-            load.memory_mut().note(now, part, work.prompt);
-            self.digest_tracker.record_placement(target, part, work.prompt);
+        if let Some(prompt_hash) = work.prompt_hash {
+            load.prompt_cache_mut().record(now, prompt_hash, work.prompt);
+            self.digest_tracker.record_placement(target, prompt_hash, work.prompt);
         }
         let run = PlacedRun { service: service.clone(), target, since: now, last_event: None };
         self.runs.insert(ticket, run);
@@ -492,18 +492,20 @@
         ticket: RequestSequence,
         reason: RefusalReason,
     ) {
-        let line = self.services.get(service).map_or(0, |state| state.line.len());
+        let waiting = self.services.get(service).map_or(0, |state| state.queue.len());
         let view = self.view(now, service);
         let wait = view.as_ref().map_or(Duration::ZERO, |view| view.expected_wait(None));
-        let held_until = view.and_then(|view| view.held_until());
-        let held = held_until.map_or(Duration::ZERO, |until| until.since(now));
-        self.service_state(service).line.remove(ticket);
+        let backed_off_until = view.and_then(|view| view.backed_off_until());
+        let held = backed_off_until.map_or(Duration::ZERO, |until| until.since(now));
+        self.service_state(service).queue.remove(ticket);
         let retry_after = match reason {
             RefusalReason::NoTarget => self.retry_delay.without_target(),
-            RefusalReason::HeldOff => self.retry_delay.after_hold_off(held),
-            RefusalReason::Overload | RefusalReason::OutOfTime => self.retry_delay.after_line(wait),
+            RefusalReason::HeldOff => self.retry_delay.after_back_off(held),
+            RefusalReason::Overload | RefusalReason::OutOfTime => {
+                self.retry_delay.after_queue(wait)
+            }
         };
-        self.decisions.push(Decision::Refuse { ticket, reason, retry_after, line });
+        self.decisions.push(Decision::Refuse { ticket, reason, retry_after, waiting });
         self.changed = true;
     }
 
@@ -516,11 +518,11 @@
     }
 
     /// Returns the current view of a service's queue and targets.
-    pub(crate) fn view(&self, now: Moment, service: &ServiceName) -> Option<LineView<'_>> {
+    pub(crate) fn view(&self, now: Moment, service: &ServiceName) -> Option<QueueView<'_>> {
         let state = self.services.get(service)?;
         let sharing =
-            PlaceSharing { vms: self.cell_size, turn_span: self.digest_timing.propagation_time() };
-        let view = LineView::new(now, state, &self.targets, &self.peers, &self.options, sharing);
+            SlotSharing { vms: self.cell_size, turn_span: self.digest_timing.propagation_time() };
+        let view = QueueView::new(now, state, &self.targets, &self.peers, &self.options, sharing);
         if state.trial.keys.is_empty() {
             return Some(view);
         }
--- a/crates/ryetide-core/src/scheduler_digests.rs
+++ b/crates/ryetide-core/src/scheduler_digests.rs
@@ -37,26 +37,30 @@
         self.merge_limit_reports(now, &digest.limits);
         // If the peer was unreachable, the ledger's buckets have grown since by its share of each
         // quota; its spending is charged to the grown buckets.
-        self.note_peers(now);
+        self.update_peer_counts(now);
         self.forget_dropped_reports(now, &from, &digest);
         for report in &digest.targets {
             if let Some(load) = self.targets.get_mut(&report.target) {
-                load.take_mark(now, &from, *report);
+                load.store_report(now, &from, *report);
                 load.refresh(now, &self.options.assumed);
             }
         }
         for placed in digest.placed.iter().filter(|placed| placed.number > last_placement) {
             if let Some(load) = self.targets.get_mut(&placed.target) {
-                load.memory_mut().note(now, placed.part, Tokens(u64::from(placed.tokens)));
+                load.prompt_cache_mut().record(
+                    now,
+                    placed.prompt_hash,
+                    Tokens(u64::from(placed.tokens)),
+                );
             }
         }
         for (key, total) in &digest.spent {
-            self.quotas.ledger_mut().note_peer(now, &from, *key, *total, silent_for);
+            self.quotas.ledger_mut().record_peer_total(now, &from, *key, *total, silent_for);
         }
         if digest.scope != DigestScope::Changes {
-            self.quotas.ledger_mut().note_whole(&from);
+            self.quotas.ledger_mut().record_all_totals(&from);
         }
-        self.pump_all(now);
+        self.process_queues(now);
     }
 
     /// Forgets the earlier reports of a peer on targets that its newest full digest leaves out.
@@ -72,7 +76,7 @@
         self.reported_targets.insert(from.clone(), reported);
         for key in &ended {
             if let Some(load) = self.targets.get_mut(key) {
-                load.forget_mark(now, from);
+                load.remove_report(now, from);
             }
         }
     }
@@ -134,14 +138,14 @@
             let touched = self.digest_tracker.touched();
             let changed = touched.iter().filter_map(|key| self.targets.get(key));
             let targets =
-                changed.map(|load| TargetReport { pace: None, ..load.mark(now) }).collect();
+                changed.map(|load| TargetReport { speed: None, ..load.report(now) }).collect();
             let (data_centre, crashes) = (None, self.crashes.recent_update(now, span));
             let changes = LoadDigest { scope, data_centre, targets, waiting, ..brief };
             let rollouts = self.rollout_progress(now, false);
             return LoadDigest { placed, spent, crashes, rollouts, ..changes };
         }
         let loaded = self.targets.values().filter(|load| load.has_news(now));
-        let targets = loaded.map(|load| load.mark(now)).collect();
+        let targets = loaded.map(|load| load.report(now)).collect();
         let crashes = self.crashes.full_update(now);
         LoadDigest { scope, targets, waiting, placed, crashes, ..brief }
     }
--- a/crates/ryetide-core/src/scheduler_limits.rs
+++ b/crates/ryetide-core/src/scheduler_limits.rs
@@ -37,7 +37,7 @@
     ) -> bool {
         let is_new = self.limits.record(now, target, notice, sent_at);
         if is_new {
-            self.limits_fresh_until = now + FAST_REPORT_SPAN;
+            self.limits_urgent_until = now + FAST_REPORT_SPAN;
             self.limit_changed();
             self.update_limit_shares(now);
         }
@@ -54,7 +54,7 @@
 
     /// Returns whether a limit has changed here so recently that other VMs may not know it.
     pub fn has_fresh_limit(&self, now: Moment) -> bool {
-        now < self.limits_fresh_until
+        now < self.limits_urgent_until
     }
 
     /// Returns the targets that have announced a limit, each with the limit.
--- a/crates/ryetide-core/src/scheduler_options.rs
+++ b/crates/ryetide-core/src/scheduler_options.rs
@@ -3,9 +3,9 @@
 use crate::{
     cell_plan::CellMember,
     ids::{DataCentreName, Incarnation, VmName},
-    pace::AssumedPace,
     retry_budget::RetryRule,
     rollout_order::RolloutRule,
+    target_speed::AssumedSpeed,
 };
 
 /// The options that a scheduler is created with.
@@ -24,7 +24,7 @@
     /// Limits on what a version on trial may receive.
     pub rollout: RolloutRule,
     /// The speed assumed of targets before anything was observed.
-    pub assumed: AssumedPace,
+    pub assumed: AssumedSpeed,
 }
 
 impl SchedulerOptions {
--- a/crates/ryetide-core/src/scheduler_rollouts.rs
+++ b/crates/ryetide-core/src/scheduler_rollouts.rs
@@ -30,9 +30,9 @@
     ) -> T {
         let outcome = act(&mut self.rollouts, now);
         if self.rollouts.has_changes() {
-            self.deal_targets();
+            self.update_used_targets();
             self.changed = true;
-            self.pump_all(now);
+            self.process_queues(now);
         }
         outcome
     }
--- a/crates/ryetide-core/src/place_turn.rs
+++ b/crates/ryetide-core/src/slot_turn.rs
@@ -32,7 +32,7 @@
 /// The urgency of the most urgent request that waits for a service at one VM; the smallest class
 /// goes first.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct ClaimClass {
+pub struct UrgencyClass {
     /// Whether the request has missed its objective, or cannot meet it any more.
     pub late: bool,
     /// The request's tier.
@@ -41,7 +41,7 @@
     pub route_tier: TierRank,
 }
 
-impl ClaimClass {
+impl UrgencyClass {
     /// The least urgent class that can still meet its objective.
     pub const LEAST_ON_TIME: Self =
         Self { late: false, tier: TierRank(u8::MAX), route_tier: TierRank(u8::MAX) };
@@ -49,16 +49,16 @@
 
 /// A VM with requests that wait for a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct PlaceClaimant<'a> {
+pub struct SlotClaimant<'a> {
     /// The VM.
     pub vm: &'a VmName,
     /// The class of the VM's most urgent request.
-    pub class: ClaimClass,
+    pub class: UrgencyClass,
 }
 
 /// The VM that freed a slot.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub enum PlaceGiver {
+pub enum SlotReleaser {
     /// None: the target is new to this VM.
     #[default]
     Nobody,
@@ -70,20 +70,20 @@
 
 /// When a slot last became free, and which VM freed it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct FreedPlace {
+pub struct FreedSlot {
     /// When this VM learned of it.
     pub at: Moment,
     /// The VM that had used it.
-    pub by: PlaceGiver,
+    pub by: SlotReleaser,
 }
 
 /// A slot that has become free.
 #[derive(Clone, Copy, Debug)]
-pub struct OpenPlace<'a> {
+pub struct FreeSlot<'a> {
     /// The target.
     pub target: TargetKey,
     /// When the slot was freed, and by which VM.
-    pub freed: &'a FreedPlace,
+    pub freed: &'a FreedSlot,
 }
 
 /// Returns whether the VM `own` may take one of the target's free slots now. Each turn lasts
@@ -95,37 +95,37 @@
 /// use std::time::Duration;
 /// use ryetide_core::{
 ///     ids::TargetKey,
-///     place_turn::{self, ClaimClass, FreedPlace, OpenPlace, PlaceClaimant, PlaceGiver},
+///     slot_turn::{self, UrgencyClass, FreedSlot, FreeSlot, SlotClaimant, SlotReleaser},
 ///     units::{Moment, TierRank},
 /// };
 ///
 /// let (e1, e2) = ("e1".into(), "e2".into());
-/// let class = |tier| ClaimClass { late: false, tier: TierRank(tier), route_tier: TierRank(0) };
-/// let claim = |vm, tier| PlaceClaimant { vm, class: class(tier) };
-/// let freed = FreedPlace { at: Moment::from_millis(1_000), by: PlaceGiver::Own };
-/// let slot = OpenPlace { target: TargetKey::of(&"t1".into()), freed: &freed };
+/// let class = |tier| UrgencyClass { late: false, tier: TierRank(tier), route_tier: TierRank(0) };
+/// let claim = |vm, tier| SlotClaimant { vm, class: class(tier) };
+/// let freed = FreedSlot { at: Moment::from_millis(1_000), by: SlotReleaser::Own };
+/// let slot = FreeSlot { target: TargetKey::of(&"t1".into()), freed: &freed };
 /// let (at, span) = (Moment::from_millis, Duration::from_millis(8));
-/// assert!(place_turn::is_turn(at(1_000), span, slot, claim(&e1, 0), &[claim(&e2, 1)]));
-/// assert!(!place_turn::is_turn(at(1_005), span, slot, claim(&e1, 1), &[claim(&e2, 0)]));
-/// assert!(place_turn::is_turn(at(1_016), span, slot, claim(&e1, 1), &[claim(&e2, 0)]));
+/// assert!(slot_turn::is_turn(at(1_000), span, slot, claim(&e1, 0), &[claim(&e2, 1)]));
+/// assert!(!slot_turn::is_turn(at(1_005), span, slot, claim(&e1, 1), &[claim(&e2, 0)]));
+/// assert!(slot_turn::is_turn(at(1_016), span, slot, claim(&e1, 1), &[claim(&e2, 0)]));
 /// ```
 pub fn is_turn(
     now: Moment,
     span: Duration,
-    slot: OpenPlace<'_>,
-    own: PlaceClaimant<'_>,
-    peers: &[PlaceClaimant<'_>],
+    slot: FreeSlot<'_>,
+    own: SlotClaimant<'_>,
+    peers: &[SlotClaimant<'_>],
 ) -> bool {
     let passed = now.since(slot.freed.at);
     if passed >= span * (2 * CLASS_TURNS) {
         return true;
     }
-    let freed_slot = |claimant: &PlaceClaimant<'_>| match &slot.freed.by {
-        PlaceGiver::Nobody => false,
-        PlaceGiver::Own => claimant.vm == own.vm,
-        PlaceGiver::Peer(peer) => claimant.vm == peer,
+    let freed_slot = |claimant: &SlotClaimant<'_>| match &slot.freed.by {
+        SlotReleaser::Nobody => false,
+        SlotReleaser::Own => claimant.vm == own.vm,
+        SlotReleaser::Peer(peer) => claimant.vm == peer,
     };
-    let order = |claimant: &PlaceClaimant<'_>| {
+    let order = |claimant: &SlotClaimant<'_>| {
         let seed = u64::from(slot.target.0);
         let hash = xxh3::xxh3_64_with_seed(claimant.vm.as_str().as_bytes(), seed);
         (!freed_slot(claimant), hash)
--- a/crates/ryetide-core/src/target_health.rs
+++ b/crates/ryetide-core/src/target_health.rs
@@ -24,57 +24,58 @@
     pause_until: Moment,
     failure_rate: f64,
     updated_at: Moment,
-    heard_at: Moment,
-    held_until: Moment,
+    last_received_at: Moment,
+    backed_off_until: Moment,
 }
 
 impl TargetHealth {
     /// Records that no connection could be opened, or that an open one was found broken.
-    pub fn note_unreachable(&mut self, now: Moment) {
+    pub fn record_unreachable(&mut self, now: Moment) {
         let pause =
             FIRST_PAUSE.saturating_mul(1 << self.connect_failures.min(4)).min(LONGEST_PAUSE);
         self.connect_failures += 1;
         self.pause_until = now + pause;
-        self.note_failure(now);
+        self.record_failure(now);
     }
 
     /// Records that the target failed a request.
-    pub fn note_failure(&mut self, now: Moment) {
+    pub fn record_failure(&mut self, now: Moment) {
         self.record_outcome(now, 1.0);
     }
 
     /// Records that the target answered a request successfully.
-    pub fn note_success(&mut self, now: Moment) {
-        self.note_heard(now);
+    pub fn record_success(&mut self, now: Moment) {
+        self.record_received(now);
         self.record_outcome(now, 0.0);
     }
 
     /// Records that the target sent any byte, so that it is reachable.
-    pub fn note_heard(&mut self, now: Moment) {
+    pub fn record_received(&mut self, now: Moment) {
         self.connect_failures = 0;
         self.pause_until = Moment::default();
-        self.heard_at = now;
+        self.last_received_at = now;
     }
 
     /// Records that the target requested back-off for `span`. Since the target requested it itself,
     /// nothing received meanwhile, not even successful answers, ends the back-off sooner.
-    pub fn hold_off(&mut self, now: Moment, span: Duration) {
-        self.held_until = self.held_until.max(now + span.min(target_notice::LONGEST_HOLD_OFF));
+    pub fn back_off(&mut self, now: Moment, span: Duration) {
+        self.backed_off_until =
+            self.backed_off_until.max(now + span.min(target_notice::LONGEST_HOLD_OFF));
     }
 
     /// Returns when the target's requested back-off ends.
-    pub fn held_until(&self) -> Moment {
-        self.held_until
+    pub fn backed_off_until(&self) -> Moment {
+        self.backed_off_until
     }
 
     /// Returns when any byte was last received from the target.
-    pub fn heard_at(&self) -> Moment {
-        self.heard_at
+    pub fn last_received_at(&self) -> Moment {
+        self.last_received_at
     }
 
     /// Whether the target is paused and gets no new requests.
     pub fn is_paused(&self, now: Moment) -> bool {
-        now < self.pause_until.max(self.held_until)
+        now < self.pause_until.max(self.backed_off_until)
     }
 
     /// Whether the target could not be reached when it was last tried.
@@ -87,13 +88,13 @@
     }
 
     /// Returns the share of recent requests that the target failed, from 0 to 1.
-    pub fn failing(&self, now: Moment) -> f64 {
+    pub fn failure_rate(&self, now: Moment) -> f64 {
         let halves = now.since(self.updated_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
         self.failure_rate * 0.5_f64.powf(halves)
     }
 
     fn record_outcome(&mut self, now: Moment, outcome: f64) {
-        let rate = self.failing(now);
+        let rate = self.failure_rate(now);
         self.failure_rate = rate + (outcome - rate) * OUTCOME_WEIGHT;
         self.updated_at = now;
     }
--- a/crates/ryetide-core/src/target_load.rs
+++ b/crates/ryetide-core/src/target_load.rs
@@ -14,10 +14,10 @@
     },
     limit_share::LimitShare,
     load_digest::TargetReport,
-    pace::{AssumedPace, PaceEstimate, TargetPace},
-    place_turn::{FreedPlace, PlaceGiver},
-    prompt_memory::PromptMemory,
+    prompt_cache::PromptCache,
+    slot_turn::{FreedSlot, SlotReleaser},
     target_health::TargetHealth,
+    target_speed::{AssumedSpeed, SpeedEstimate, SpeedTracker},
     units::{Moment, Tokens},
 };
 
@@ -94,37 +94,37 @@
 pub struct TargetLoad {
     entry: TargetEntry,
     key: TargetKey,
-    pace: TargetPace,
-    estimate: PaceEstimate,
+    speed: SpeedTracker,
+    estimate: SpeedEstimate,
     health: TargetHealth,
-    memory: PromptMemory,
+    prompt_cache: PromptCache,
     runs: HashMap<RequestSequence, OwnRun>,
     reports: BTreeMap<VmName, (Moment, TargetReport)>,
     answer_time: Duration,
-    freed: FreedPlace,
+    freed: FreedSlot,
     limit: LimitShare,
 }
 
 impl TargetLoad {
     /// Creates the state of a target without observations, known since `now`.
-    pub fn new(now: Moment, entry: TargetEntry, assumed: &AssumedPace) -> Self {
+    pub fn new(now: Moment, entry: TargetEntry, assumed: &AssumedSpeed) -> Self {
         Self {
             key: entry.key(),
             entry,
-            pace: TargetPace::default(),
-            estimate: PaceEstimate::of(assumed, []),
+            speed: SpeedTracker::default(),
+            estimate: SpeedEstimate::of(assumed, []),
             health: TargetHealth::default(),
-            memory: PromptMemory::default(),
+            prompt_cache: PromptCache::default(),
             runs: HashMap::new(),
             reports: BTreeMap::new(),
             answer_time: ASSUMED_ANSWER_TIME,
-            freed: FreedPlace { at: now, by: PlaceGiver::Nobody },
+            freed: FreedSlot { at: now, by: SlotReleaser::Nobody },
             limit: LimitShare::Unlimited,
         }
     }
 
     /// Returns when a slot of the target was last freed, and by which VM.
-    pub fn freed(&self) -> &FreedPlace {
+    pub fn freed(&self) -> &FreedSlot {
         &self.freed
     }
 
@@ -154,12 +154,12 @@
     }
 
     /// Returns the prompts that the target probably has in its cache.
-    pub fn memory_mut(&mut self) -> &mut PromptMemory {
-        &mut self.memory
+    pub fn prompt_cache_mut(&mut self) -> &mut PromptCache {
+        &mut self.prompt_cache
     }
 
     /// Returns the target's speed, estimated from the observations of all VMs.
-    pub fn estimate(&self) -> &PaceEstimate {
+    pub fn estimate(&self) -> &SpeedEstimate {
         &self.estimate
     }
 
@@ -172,19 +172,19 @@
     /// received.
     pub fn running(&self, now: Moment) -> u32 {
         let own = u32::try_from(self.runs.len()).unwrap_or(u32::MAX);
-        own + self.valid_reports(now).map(|mark| u32::from(mark.running)).sum::<u32>()
+        own + self.valid_reports(now).map(|report| u32::from(report.running)).sum::<u32>()
     }
 
     /// Whether this VM has something to report to peers about the target: running requests,
     /// observations of its speed, or that it is suspected.
     pub fn has_news(&self, now: Moment) -> bool {
-        let report = self.pace.report(now);
+        let report = self.speed.report(now);
         let has_observations = report.prompt.weight.max(report.event.weight) > MIN_REPORTED_WEIGHT;
         has_observations || !self.runs.is_empty() || self.is_suspected_here(now)
     }
 
     /// Returns the number of free slots.
-    pub fn free_places(&self, now: Moment) -> u32 {
+    pub fn free_slots(&self, now: Moment) -> u32 {
         self.entry.slots.saturating_sub(self.running(now))
     }
 
@@ -193,32 +193,36 @@
         let own: u64 = self.runs.values().map(|run| run.unread(now)).sum();
         let time_per_token = self.estimate.prompt_token.as_secs_f64().max(1e-9);
         let valid = self.reports.values().filter(|(at, _)| now.since(*at) < REPORT_TTL);
-        let of_peers = valid.map(|(at, mark)| {
+        let of_peers = valid.map(|(at, report)| {
             let read = now.since(*at).as_secs_f64() / time_per_token;
-            u64::from(mark.unread).saturating_sub(read as u64)
+            u64::from(report.unread).saturating_sub(read as u64)
         });
         own + of_peers.sum::<u64>()
     }
 
     /// Returns how many tokens of a prompt the target would have to read.
-    pub fn tokens_to_read(&self, now: Moment, prompt: Tokens, part: Option<u32>) -> Tokens {
-        if part.is_some_and(|part| self.memory.holds(now, part)) { Tokens(0) } else { prompt }
+    pub fn tokens_to_read(&self, now: Moment, prompt: Tokens, prompt_hash: Option<u32>) -> Tokens {
+        if prompt_hash.is_some_and(|hash| self.prompt_cache.holds(now, hash)) {
+            Tokens(0)
+        } else {
+            prompt
+        }
     }
 
     /// Returns the expected time from a dispatch at `now` to the first event, if a slot is free.
-    pub fn first_event(&self, now: Moment, assumed: &AssumedPace, tokens: Tokens) -> Duration {
+    pub fn first_event(&self, now: Moment, assumed: &AssumedSpeed, tokens: Tokens) -> Duration {
         assumed.overhead + self.estimate.reading_time(self.unread(now) + tokens.0)
     }
 
     /// Whether this VM or a peer suspects the target: it could not be reached, or it has sent
     /// nothing for too long while an event was due.
-    pub fn is_doubtful(&self, now: Moment) -> bool {
-        self.is_suspected_here(now) || self.valid_reports(now).any(|mark| mark.doubtful)
+    pub fn is_suspected(&self, now: Moment) -> bool {
+        self.is_suspected_here(now) || self.valid_reports(now).any(|report| report.suspected)
     }
 
     /// Whether the target may get a new request. It may not while it is paused; while it is
     /// suspected, it may get one request at a time until it responds.
-    pub fn may_get(&self, now: Moment) -> bool {
+    pub fn accepts_work(&self, now: Moment) -> bool {
         let is_probing = self.health.is_suspect() && !self.runs.is_empty();
         !self.entry.leaving && !self.health.is_paused(now) && !is_probing && self.limit.permits(now)
     }
@@ -240,7 +244,7 @@
     fn is_stalled(&self, now: Moment) -> bool {
         self.runs.values().any(|run| {
             let wait = if run.first.is_some() { Duration::ZERO } else { run.expected_first * 2 };
-            let since = run.sent.max(self.health.heard_at());
+            let since = run.sent.max(self.health.last_received_at());
             now.since(since) > wait + STALL_SPAN
         })
     }
@@ -249,7 +253,7 @@
     pub fn begin(
         &mut self,
         now: Moment,
-        assumed: &AssumedPace,
+        assumed: &AssumedSpeed,
         ticket: RequestSequence,
         tokens: Tokens,
     ) {
@@ -261,26 +265,26 @@
     }
 
     /// Records the first event of a stream, and updates the speed estimate.
-    pub fn note_first(&mut self, now: Moment, assumed: &AssumedPace, ticket: RequestSequence) {
-        self.health.note_heard(now);
+    pub fn record_first(&mut self, now: Moment, assumed: &AssumedSpeed, ticket: RequestSequence) {
+        self.health.record_received(now);
         let Some(run) = self.runs.get_mut(&ticket).filter(|run| run.first.is_none()) else {
             return;
         };
         run.first = Some(now);
         let (queue, waited) = (run.queue, now.since(run.sent));
-        self.pace.note_first(now, assumed, queue, waited);
+        self.speed.record_first(now, assumed, queue, waited);
     }
 
     /// Records a further event of a stream.
-    pub fn note_event(&mut self, now: Moment, pause: Duration) {
-        self.health.note_heard(now);
-        self.pace.note_event(now, pause);
+    pub fn record_event(&mut self, now: Moment, pause: Duration) {
+        self.health.record_received(now);
+        self.speed.record_event(now, pause);
     }
 
     /// Records that a request has ended. A whole answer updates the mean answer time.
     pub fn end(&mut self, now: Moment, ticket: RequestSequence, whole: bool) {
         let Some(run) = self.runs.remove(&ticket) else { return };
-        self.freed = FreedPlace { at: now, by: PlaceGiver::Own };
+        self.freed = FreedSlot { at: now, by: SlotReleaser::Own };
         if whole {
             let taken = now.since(run.sent).as_secs_f64();
             let mean = self.answer_time.as_secs_f64();
@@ -289,15 +293,15 @@
     }
 
     /// Stores a peer's report about the target.
-    pub fn take_mark(&mut self, now: Moment, peer: &VmName, mut mark: TargetReport) {
-        let earlier = self.reports.get(peer).and_then(|(_, before)| before.pace);
-        mark.pace = mark.pace.or(earlier);
-        let before = self.reports.insert(peer.clone(), (now, mark));
-        self.record_freed(now, peer, before, mark.running);
+    pub fn store_report(&mut self, now: Moment, peer: &VmName, mut report: TargetReport) {
+        let earlier = self.reports.get(peer).and_then(|(_, before)| before.speed);
+        report.speed = report.speed.or(earlier);
+        let before = self.reports.insert(peer.clone(), (now, report));
+        self.record_freed(now, peer, before, report.running);
     }
 
     /// Removes a peer's report: the peer is gone, or no longer reports this target.
-    pub fn forget_mark(&mut self, now: Moment, peer: &VmName) {
+    pub fn remove_report(&mut self, now: Moment, peer: &VmName) {
         let before = self.reports.remove(peer);
         self.record_freed(now, peer, before, 0);
     }
@@ -309,32 +313,32 @@
         before: Option<(Moment, TargetReport)>,
         running: u16,
     ) {
-        if before.is_some_and(|(_, mark)| mark.running > running) {
-            self.freed = FreedPlace { at: now, by: PlaceGiver::Peer(peer.clone()) };
+        if before.is_some_and(|(_, report)| report.running > running) {
+            self.freed = FreedSlot { at: now, by: SlotReleaser::Peer(peer.clone()) };
         }
     }
 
     /// Combines the observations of all VMs into a new estimate of the target's speed.
-    pub fn refresh(&mut self, now: Moment, assumed: &AssumedPace) {
-        let own = self.pace.report(now);
-        let peers = self.valid_reports(now).filter_map(|mark| mark.pace);
-        self.estimate = PaceEstimate::of(assumed, peers.chain([own]));
+    pub fn refresh(&mut self, now: Moment, assumed: &AssumedSpeed) {
+        let own = self.speed.report(now);
+        let peers = self.valid_reports(now).filter_map(|report| report.speed);
+        self.estimate = SpeedEstimate::of(assumed, peers.chain([own]));
     }
 
     /// Returns this VM's report about the target for its peers.
-    pub fn mark(&self, now: Moment) -> TargetReport {
+    pub fn report(&self, now: Moment) -> TargetReport {
         let unread: u64 = self.runs.values().map(|run| run.unread(now)).sum();
         TargetReport {
             target: self.key,
             running: u16::try_from(self.runs.len()).unwrap_or(u16::MAX),
             unread: u32::try_from(unread).unwrap_or(u32::MAX),
-            doubtful: self.is_suspected_here(now),
-            pace: Some(self.pace.report(now)),
+            suspected: self.is_suspected_here(now),
+            speed: Some(self.speed.report(now)),
         }
     }
 
     fn valid_reports(&self, now: Moment) -> impl Iterator<Item = &TargetReport> {
         let valid = self.reports.values().filter(move |(at, _)| now.since(*at) < REPORT_TTL);
-        valid.map(|(_, mark)| mark)
+        valid.map(|(_, report)| report)
     }
 }
--- a/crates/ryetide-core/src/pace.rs
+++ b/crates/ryetide-core/src/target_speed.rs
@@ -70,7 +70,7 @@
 
 /// One VM's observations of one target's speed, as sent to peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct PaceReport {
+pub struct SpeedReport {
     /// Microseconds for each prompt token.
     pub prompt: FadingMean,
     /// Microseconds between two events of a stream.
@@ -79,7 +79,7 @@
 
 /// The speed assumed of a target before anything was observed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AssumedPace {
+pub struct AssumedSpeed {
     /// Time to read one prompt token.
     pub prompt_token: Duration,
     /// Time between two events of a stream.
@@ -88,7 +88,7 @@
     pub overhead: Duration,
 }
 
-impl Default for AssumedPace {
+impl Default for AssumedSpeed {
     /// Returns the speed of an engine in the middle of the usual range: 50 prompt tokens per
     /// millisecond.
     fn default() -> Self {
@@ -106,18 +106,18 @@
 
 /// One target's speed as observed by this VM.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TargetPace {
+pub struct SpeedTracker {
     prompt: TimedMean,
     event: TimedMean,
 }
 
-impl TargetPace {
+impl SpeedTracker {
     /// Records a stream's first event, which came `waited` after the dispatch. The target had to
     /// read `tokens` of prompts before it, including the stream's own prompt.
-    pub fn note_first(
+    pub fn record_first(
         &mut self,
         now: Moment,
-        assumed: &AssumedPace,
+        assumed: &AssumedSpeed,
         tokens: Tokens,
         waited: Duration,
     ) {
@@ -129,19 +129,19 @@
     }
 
     /// Records the pause between two events of a stream.
-    pub fn note_event(&mut self, now: Moment, pause: Duration) {
+    pub fn record_event(&mut self, now: Moment, pause: Duration) {
         self.event.add(now, pause.as_secs_f64() * 1e6);
     }
 
     /// Returns this VM's observations.
-    pub fn report(&self, now: Moment) -> PaceReport {
-        PaceReport { prompt: self.prompt.at(now), event: self.event.at(now) }
+    pub fn report(&self, now: Moment) -> SpeedReport {
+        SpeedReport { prompt: self.prompt.at(now), event: self.event.at(now) }
     }
 }
 
 /// One target's speed, combined from the observations of all VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PaceEstimate {
+pub struct SpeedEstimate {
     /// Time to read one prompt token.
     pub prompt_token: Duration,
     /// Time between two events of a stream.
@@ -150,18 +150,18 @@
     pub weight: f32,
 }
 
-impl PaceEstimate {
+impl SpeedEstimate {
     /// Combines reports with the assumed speed.
     ///
     /// # Example
     ///
     /// ```
-    /// use ryetide_core::pace::{AssumedPace, PaceEstimate};
+    /// use ryetide_core::target_speed::{AssumedSpeed, SpeedEstimate};
     ///
-    /// let assumed = AssumedPace::default();
-    /// assert_eq!(PaceEstimate::of(&assumed, []).prompt_token, assumed.prompt_token);
+    /// let assumed = AssumedSpeed::default();
+    /// assert_eq!(SpeedEstimate::of(&assumed, []).prompt_token, assumed.prompt_token);
     /// ```
-    pub fn of(assumed: &AssumedPace, reports: impl IntoIterator<Item = PaceReport>) -> Self {
+    pub fn of(assumed: &AssumedSpeed, reports: impl IntoIterator<Item = SpeedReport>) -> Self {
         let mut prompt = WeightedSum::new(assumed.prompt_token);
         let mut event = WeightedSum::new(assumed.event);
         for report in reports {
--- a/crates/ryetide-core/src/wait_line.rs
+++ b/crates/ryetide-core/src/wait_queue.rs
@@ -10,13 +10,13 @@
 
 use crate::{
     ids::{RequestSequence, ServiceName, TargetKey},
-    place_turn::ClaimClass,
+    slot_turn::UrgencyClass,
     units::{Moment, TierRank, Tokens},
 };
 
 /// A request that waits for a slot.
 #[derive(Clone, Debug)]
-pub struct WaitingWork {
+pub struct WaitingRequest {
     /// The request.
     pub ticket: RequestSequence,
     /// The service whose targets may serve it.
@@ -30,13 +30,13 @@
     /// The length of the prompt.
     pub prompt: Tokens,
     /// The hash of the last section of the prompt.
-    pub part: Option<u32>,
+    pub prompt_hash: Option<u32>,
     /// The expected number of events in the answer.
     pub events: u32,
     /// When the request arrived.
     pub arrived: Moment,
     /// Whether this is a caller's retry after a refusal.
-    pub came_back: bool,
+    pub is_retry: bool,
     /// The latest time at which the first event, or the whole answer, is on time, counted from the
     /// caller's first attempt.
     pub objective_at: Moment,
@@ -54,7 +54,7 @@
 
 /// A request's position in the queue; the smallest rank goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct LineRank {
+pub struct QueueRank {
     /// Whether the request has missed its objective, or cannot meet it any more.
     pub late: bool,
     /// The request's tier.
@@ -67,18 +67,18 @@
     pub ticket: RequestSequence,
 }
 
-impl LineRank {
+impl QueueRank {
     /// Returns the urgency of the request in comparison with those that wait at other VMs.
-    pub fn class(&self) -> ClaimClass {
-        ClaimClass { late: self.late, tier: self.tier, route_tier: self.route_tier }
+    pub fn class(&self) -> UrgencyClass {
+        UrgencyClass { late: self.late, tier: self.tier, route_tier: self.route_tier }
     }
 }
 
-impl WaitingWork {
+impl WaitingRequest {
     /// Returns the rank of the request at `now`, if its first event comes no sooner than `best`
     /// after a dispatch.
-    pub fn rank(&self, now: Moment, best: Duration) -> LineRank {
-        LineRank {
+    pub fn rank(&self, now: Moment, best: Duration) -> QueueRank {
+        QueueRank {
             late: now + best > self.objective_at,
             tier: self.tier,
             route_tier: self.route_tier,
@@ -90,18 +90,18 @@
 
 /// The queue of one service.
 #[derive(Debug, Default)]
-pub struct WaitLine {
-    waiting: Vec<WaitingWork>,
+pub struct WaitQueue {
+    waiting: Vec<WaitingRequest>,
 }
 
-impl WaitLine {
+impl WaitQueue {
     /// Adds a request.
-    pub fn push(&mut self, work: WaitingWork) {
+    pub fn push(&mut self, work: WaitingRequest) {
         self.waiting.push(work);
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, ticket: RequestSequence) -> Option<WaitingWork> {
+    pub fn remove(&mut self, ticket: RequestSequence) -> Option<WaitingRequest> {
         let index = self.waiting.iter().position(|work| work.ticket == ticket)?;
         Some(self.waiting.swap_remove(index))
     }
@@ -111,8 +111,8 @@
     pub fn ordered(
         &self,
         now: Moment,
-        best: impl Fn(&WaitingWork) -> Duration,
-    ) -> Vec<(LineRank, &WaitingWork)> {
+        best: impl Fn(&WaitingRequest) -> Duration,
+    ) -> Vec<(QueueRank, &WaitingRequest)> {
         let ranked = self.waiting.iter().map(|work| (work.rank(now, best(work)), work));
         let mut ordered: Vec<_> = ranked.collect();
         ordered.sort_by_key(|(rank, _)| *rank);
@@ -120,7 +120,7 @@
     }
 
     /// Returns the requests in unspecified order.
-    pub fn iter(&self) -> impl Iterator<Item = &WaitingWork> {
+    pub fn iter(&self) -> impl Iterator<Item = &WaitingRequest> {
         self.waiting.iter()
     }
 
--- a/crates/ryetide-core/tests/deadline_habit.rs
+++ b/crates/ryetide-core/tests/deadline_tracker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use ryetide_core::deadline_habit::DeadlineHabit;
+use ryetide_core::deadline_tracker::DeadlineTracker;
 
 fn millis(value: u64) -> Duration {
     Duration::from_millis(value)
@@ -13,7 +13,7 @@
 /// be recognised by it, also some time after callers begin to start with another deadline.
 #[test]
 fn retries_are_recognised_by_their_remaining_time() {
-    let mut tracker = DeadlineHabit::default();
+    let mut tracker = DeadlineTracker::default();
     let mut rng = SmallRng::seed_from_u64(1);
     for (start, from) in [(10_000, 20), (4_000, 500)] {
         for round in 0..2_000 {
@@ -35,7 +35,7 @@
 /// its deadline is shorter.
 #[test]
 fn varied_deadlines_give_no_estimate() {
-    let mut tracker = DeadlineHabit::default();
+    let mut tracker = DeadlineTracker::default();
     let mut rng = SmallRng::seed_from_u64(2);
     for _ in 0..3_000 {
         assert_eq!(tracker.waited(millis(rng.random_range(2_000..30_000))), Duration::ZERO);
@@ -46,7 +46,7 @@
 /// deadline must not be taken for a retry.
 #[test]
 fn a_frequent_starting_time_is_not_taken_for_a_retry() {
-    let mut tracker = DeadlineHabit::default();
+    let mut tracker = DeadlineTracker::default();
     let mut longest = Duration::ZERO;
     for round in 0..500 {
         let waited = tracker.waited(millis(if round % 4 == 0 { 3_000 } else { 10_000 }));
--- a/crates/ryetide-core/tests/fleet_digests.rs
+++ b/crates/ryetide-core/tests/fleet_digests.rs
@@ -7,11 +7,11 @@
     digest_route::DigestPeer,
     ids::Incarnation,
     load_digest::{DigestEnvelope, LoadDigest},
-    pace::AssumedPace,
     retry_budget::RetryRule,
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
     target_load::TargetEntry,
+    target_speed::AssumedSpeed,
     units::{LinkRate, Moment},
 };
 
@@ -24,7 +24,7 @@
         seed: 1,
         retry: RetryRule::default(),
         rollout: Default::default(),
-        assumed: AssumedPace::default(),
+        assumed: AssumedSpeed::default(),
     });
     let entry = |name: &&str| TargetEntry {
         name: (*name).into(),
--- a/crates/ryetide-core/tests/quota.rs
+++ b/crates/ryetide-core/tests/quota.rs
@@ -34,7 +34,7 @@
     ledger.take(now, &RULE, charge(900)).unwrap();
     let wait = ledger.take(now, &RULE, charge(200)).unwrap_err();
     assert_eq!(wait, Duration::from_millis(100));
-    ledger.give_back(charge(900));
+    ledger.refund(charge(900));
     assert!(ledger.take(now, &RULE, charge(200)).is_ok());
 }
 
@@ -56,7 +56,7 @@
             ledgers.iter().map(|ledger| ledger.totals().map(|(_, spent)| spent).sum()).collect();
         for (own, ledger) in ledgers.iter_mut().enumerate() {
             for (peer, name) in names.iter().enumerate().filter(|(peer, _)| *peer != own) {
-                ledger.note_peer(now, name, KEY, totals[peer], Duration::ZERO);
+                ledger.record_peer_total(now, name, KEY, totals[peer], Duration::ZERO);
             }
         }
     }
@@ -70,7 +70,7 @@
 fn both_sides_of_a_partition_share_the_rate() {
     let admitted_by = |reachable: f64| {
         let mut ledger = QuotaLedger::default();
-        ledger.set_heard_part(reachable);
+        ledger.set_reachable_share(reachable);
         let mut admitted = 0;
         for step in 1..=800_u64 {
             let now = Moment::from_millis(1 + step * 10);
@@ -98,7 +98,7 @@
         let mut ledger = QuotaLedger::default();
         let start = Moment::from_millis(1);
         peers.list(start, &listed);
-        ledger.set_heard_part(peers.reachable_share(start));
+        ledger.set_reachable_share(peers.reachable_share(start));
         for step in 0..100_u64 {
             let now = Moment::from_millis(1 + step * 10);
             admitted += u64::from(ledger.take(now, &RULE, charge(10)).is_ok()) * 10;
@@ -115,12 +115,12 @@
 fn vms_that_reach_each_other_again_allow_the_whole_burst() {
     let names: Vec<VmName> = (0..9).map(|index| format!("e{index}").as_str().into()).collect();
     let mut ledgers: Vec<QuotaLedger> = names.iter().map(|_| QuotaLedger::default()).collect();
-    ledgers.iter_mut().for_each(|ledger| ledger.set_heard_part(1.0 / 9.0));
+    ledgers.iter_mut().for_each(|ledger| ledger.set_reachable_share(1.0 / 9.0));
     let mut admitted = 0;
     for step in 0..100_u64 {
         let now = Moment::from_millis(1 + step * 10);
         if step == 10 {
-            ledgers.iter_mut().for_each(|ledger| ledger.set_heard_part(1.0));
+            ledgers.iter_mut().for_each(|ledger| ledger.set_reachable_share(1.0));
         }
         for ledger in &mut ledgers {
             admitted += u64::from(ledger.take(now, &RULE, charge(2)).is_ok()) * 2;
@@ -129,7 +129,7 @@
             ledgers.iter().map(|ledger| ledger.totals().map(|(_, spent)| spent).sum()).collect();
         for (own, ledger) in ledgers.iter_mut().enumerate().filter(|_| step >= 10) {
             for (peer, name) in names.iter().enumerate().filter(|(peer, _)| *peer != own) {
-                ledger.note_peer(now, name, KEY, totals[peer], Duration::ZERO);
+                ledger.record_peer_total(now, name, KEY, totals[peer], Duration::ZERO);
             }
         }
     }
@@ -148,7 +148,7 @@
     let mut ledgers: Vec<QuotaLedger> = names.iter().map(|_| QuotaLedger::default()).collect();
     for (own, ledger) in ledgers.iter_mut().enumerate() {
         let peers = names.iter().enumerate().filter(|(peer, _)| *peer != own);
-        peers.for_each(|(_, name)| ledger.note_whole(name));
+        peers.for_each(|(_, name)| ledger.record_all_totals(name));
     }
     let (mut admitted, mut asked) = (0_u64, 0_usize);
     for step in 0..800_u64 {
@@ -166,7 +166,7 @@
         for (own, ledger) in ledgers.iter_mut().enumerate() {
             for (peer, name) in names.iter().enumerate().filter(|(peer, _)| *peer != own) {
                 let Some(total) = totals[peer] else { continue };
-                ledger.note_peer(now, name, KEY, total, Duration::ZERO);
+                ledger.record_peer_total(now, name, KEY, total, Duration::ZERO);
             }
         }
     }
@@ -185,14 +185,14 @@
     let peer = VmName::from("e9");
     let at = Moment::from_millis;
     ledger.take(at(1), &RULE, charge(1)).unwrap();
-    ledger.note_peer(at(1), &peer, KEY, 5_000, Duration::ZERO);
-    ledger.set_heard_part(4.0 / 9.0);
+    ledger.record_peer_total(at(1), &peer, KEY, 5_000, Duration::ZERO);
+    ledger.set_reachable_share(4.0 / 9.0);
     for step in 1..=600_u64 {
         // A third of 1,000 units per second.
         assert!(ledger.take(at(1 + step * 10), &RULE, charge(3)).is_ok(), "step {step}");
     }
-    ledger.set_heard_part(1.0);
-    ledger.note_peer(at(6_002), &peer, KEY, 5_000 + 2_000, Duration::from_millis(6_000));
+    ledger.set_reachable_share(1.0);
+    ledger.record_peer_total(at(6_002), &peer, KEY, 5_000 + 2_000, Duration::from_millis(6_000));
     for step in 601..=700_u64 {
         assert!(ledger.take(at(1 + step * 10), &RULE, charge(6)).is_ok(), "step {step}");
     }
@@ -202,7 +202,7 @@
 /// The number of retries must stay within the permitted share and slack.
 #[test]
 fn retries_stay_within_their_budget_while_every_request_fails() {
-    let rule = RetryRule { part: 0.2, window: Duration::from_secs(10), slack: 56.0 };
+    let rule = RetryRule { share: 0.2, window: Duration::from_secs(10), slack: 56.0 };
     let service = ServiceName::from("desk");
     let mut budgets: Vec<RetryBudget> = (0..8).map(|_| RetryBudget::new(rule)).collect();
     let (mut requests, mut retries) = (0_u32, 0_u32);
@@ -210,7 +210,7 @@
         let now = Moment::from_millis(1 + step * 10);
         for budget in &mut budgets {
             budget.set_vm_count(8);
-            budget.note_request(now, &service);
+            budget.record_request(now, &service);
             requests += 1;
             retries += u32::from(budget.take(now, &service));
         }
--- a/crates/ryetide-core/tests/quota_desk.rs
+++ b/crates/ryetide-core/tests/quota_allocator.rs
@@ -6,7 +6,7 @@
 use ryetide_core::{
     ids::{OrganisationKey, RequestSequence, VmName},
     quota::{QuotaCharge, QuotaRule, QuotaUnit},
-    quota_desk::{QuotaAnswer, QuotaAsk, QuotaClass, QuotaDesk},
+    quota_allocator::{QuotaAllocator, QuotaClass, QuotaReply, QuotaRequest},
     units::{Moment, TierRank},
 };
 
@@ -20,8 +20,8 @@
     Moment::from_millis(1_000 + millis)
 }
 
-fn ask(ticket: u64, now: Moment, tier: u8, units: u64, wait: u64) -> QuotaAsk {
-    QuotaAsk {
+fn ask(ticket: u64, now: Moment, tier: u8, units: u64, wait: u64) -> QuotaRequest {
+    QuotaRequest {
         ticket: RequestSequence(ticket),
         charge: QuotaCharge { key: KEY, units },
         rule: RULE,
@@ -33,9 +33,9 @@
 
 #[test]
 fn a_request_waits_for_units_that_are_refilled_in_time() {
-    let mut allocator = QuotaDesk::default();
-    assert_eq!(allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0)), QuotaAnswer::Taken);
-    assert_eq!(allocator.ask(at(0), ask(2, at(0), 0, 4_000, 400)), QuotaAnswer::Waits);
+    let mut allocator = QuotaAllocator::default();
+    assert_eq!(allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0)), QuotaReply::Taken);
+    assert_eq!(allocator.ask(at(0), ask(2, at(0), 0, 4_000, 400)), QuotaReply::Waits);
     assert_eq!(allocator.advance(at(30)), []);
     let verdicts = allocator.advance(at(40));
     assert_eq!((verdicts[0].ticket, verdicts[0].outcome), (RequestSequence(2), Ok(())));
@@ -45,20 +45,20 @@
 /// they are.
 #[test]
 fn a_request_is_refused_at_once_if_its_units_are_refilled_too_late() {
-    let mut allocator = QuotaDesk::default();
-    assert_eq!(allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0)), QuotaAnswer::Taken);
+    let mut allocator = QuotaAllocator::default();
+    assert_eq!(allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0)), QuotaReply::Taken);
     let wait = Duration::from_millis(500);
-    assert_eq!(allocator.ask(at(0), ask(2, at(0), 0, 50_000, 400)), QuotaAnswer::Over(wait));
+    assert_eq!(allocator.ask(at(0), ask(2, at(0), 0, 50_000, 400)), QuotaReply::Over(wait));
 }
 
 /// The bucket is empty. A routine request waits for its units, and an urgent one that arrives later
 /// must get its units first.
 #[test]
 fn urgent_requests_get_the_next_units_though_they_arrived_later() {
-    let mut allocator = QuotaDesk::default();
+    let mut allocator = QuotaAllocator::default();
     allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0));
-    assert_eq!(allocator.ask(at(0), ask(2, at(0), 2, 1_000, 800)), QuotaAnswer::Waits);
-    assert_eq!(allocator.ask(at(5), ask(3, at(5), 0, 4_000, 300)), QuotaAnswer::Waits);
+    assert_eq!(allocator.ask(at(0), ask(2, at(0), 2, 1_000, 800)), QuotaReply::Waits);
+    assert_eq!(allocator.ask(at(5), ask(3, at(5), 0, 4_000, 300)), QuotaReply::Waits);
     let order: Vec<u64> = (1..160)
         .flat_map(|step| allocator.advance(at(step * STEP_MILLIS)))
         .filter(|verdict| verdict.outcome.is_ok())
@@ -70,12 +70,12 @@
 /// No urgent request has arrived for a while. Routine requests may use the bucket to the last unit.
 #[test]
 fn no_headroom_is_kept_for_unused_classes() {
-    let mut allocator = QuotaDesk::default();
-    assert_eq!(allocator.ask(at(0), ask(1, at(0), 0, 4_000, 0)), QuotaAnswer::Taken);
+    let mut allocator = QuotaAllocator::default();
+    assert_eq!(allocator.ask(at(0), ask(1, at(0), 0, 4_000, 0)), QuotaReply::Taken);
     let later = 20_000;
     for ticket in 2..102 {
         let routine = ask(ticket, at(later), 2, 1_000, 0);
-        assert_eq!(allocator.ask(at(later), routine), QuotaAnswer::Taken, "request {ticket}");
+        assert_eq!(allocator.ask(at(later), routine), QuotaReply::Taken, "request {ticket}");
     }
 }
 
@@ -83,23 +83,23 @@
 /// refused to keep headroom for them.
 #[test]
 fn a_cheap_request_is_admitted_despite_headroom() {
-    let mut allocator = QuotaDesk::default();
+    let mut allocator = QuotaAllocator::default();
     allocator.ask(at(0), ask(1, at(0), 0, 4_000, 0));
     allocator.ask(at(0), ask(2, at(0), 0, 84_000, 0));
     // 12,000 units are left.
     let reply = allocator.ask(at(0), ask(3, at(0), 2, 1_000, 0));
-    assert!(matches!(reply, QuotaAnswer::Over(_)), "{reply:?}");
-    assert_eq!(allocator.ask(at(0), ask(4, at(0), 2, 200, 0)), QuotaAnswer::Taken);
+    assert!(matches!(reply, QuotaReply::Over(_)), "{reply:?}");
+    assert_eq!(allocator.ask(at(0), ask(4, at(0), 2, 200, 0)), QuotaReply::Taken);
 }
 
 #[test]
 fn a_caller_that_disconnects_uses_no_units() {
-    let mut allocator = QuotaDesk::default();
+    let mut allocator = QuotaAllocator::default();
     allocator.ask(at(0), ask(1, at(0), 0, 100_000, 0));
-    assert_eq!(allocator.ask(at(0), ask(2, at(0), 0, 4_000, 400)), QuotaAnswer::Waits);
+    assert_eq!(allocator.ask(at(0), ask(2, at(0), 0, 4_000, 400)), QuotaReply::Waits);
     allocator.leave(RequestSequence(2));
     assert_eq!(allocator.advance(at(200)), []);
-    assert!(!allocator.is_waited_at());
+    assert!(!allocator.has_waiting());
 }
 
 /// The results for the requests of one tier.
@@ -133,7 +133,8 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let names: Vec<VmName> =
             (0..self.vms).map(|index| format!("e{index}").as_str().into()).collect();
-        let mut allocators: Vec<QuotaDesk> = names.iter().map(|_| QuotaDesk::default()).collect();
+        let mut allocators: Vec<QuotaAllocator> =
+            names.iter().map(|_| QuotaAllocator::default()).collect();
         let mut results = [TierResults::default(); 3];
         let mut asked: HashMap<u64, (usize, u64)> = HashMap::new();
         let (mut units, mut ticket) = (0, 0);
@@ -152,7 +153,7 @@
                     asked.insert(ticket, (tier, cost));
                     let vm = rng.random_range(0..self.vms);
                     if allocators[vm].ask(now, ask(ticket, now, class, cost, wait))
-                        == QuotaAnswer::Taken
+                        == QuotaReply::Taken
                     {
                         results[tier].served += 1;
                         units += cost;
@@ -176,14 +177,14 @@
     }
 }
 
-fn exchange_totals(now: Moment, names: &[VmName], allocators: &mut [QuotaDesk]) {
+fn exchange_totals(now: Moment, names: &[VmName], allocators: &mut [QuotaAllocator]) {
     let totals: Vec<u64> = allocators
         .iter()
         .map(|allocator| allocator.ledger().totals().map(|(_, spent)| spent).sum())
         .collect();
     for (own, allocator) in allocators.iter_mut().enumerate() {
         for (peer, name) in names.iter().enumerate().filter(|(peer, _)| *peer != own) {
-            allocator.ledger_mut().note_peer(now, name, KEY, totals[peer], Duration::ZERO);
+            allocator.ledger_mut().record_peer_total(now, name, KEY, totals[peer], Duration::ZERO);
         }
     }
 }
@@ -226,7 +227,7 @@
 #[test]
 fn no_order_of_requests_gets_more_than_the_quota() {
     bolero::check!().with_type::<Vec<(u8, u16, u8)>>().for_each(|script| {
-        let mut allocator = QuotaDesk::default();
+        let mut allocator = QuotaAllocator::default();
         let (mut now, mut units, mut waiting) = (0_u64, 0_u64, HashMap::new());
         for (index, (tier, cost, pause)) in script.iter().enumerate() {
             now += u64::from(*pause);
@@ -236,11 +237,11 @@
             }
             let (ticket, cost) = (index as u64, u64::from(*cost));
             match allocator.ask(at(now), ask(ticket, at(now), tier % 3, cost, 200)) {
-                QuotaAnswer::Taken => units += cost,
-                QuotaAnswer::Waits => {
+                QuotaReply::Taken => units += cost,
+                QuotaReply::Waits => {
                     waiting.insert(ticket, cost);
                 }
-                QuotaAnswer::Over(_) => {}
+                QuotaReply::Over(_) => {}
             }
             let limit = 100_000.0 * (1.0 + now as f64 / 1e3) + 1.0;
             assert!(units as f64 <= limit, "{units} of {limit}");
@@ -248,6 +249,6 @@
         for verdict in allocator.advance(at(now + 200)) {
             assert!(waiting.remove(&verdict.ticket.0).is_some());
         }
-        assert!(waiting.is_empty() && !allocator.is_waited_at());
+        assert!(waiting.is_empty() && !allocator.has_waiting());
     });
 }
--- a/crates/ryetide-core/tests/rollout/placement.rs
+++ b/crates/ryetide-core/tests/rollout/placement.rs
@@ -5,14 +5,14 @@
 use ryetide_core::{
     decision::{Decision, RunEnd},
     ids::{Incarnation, RequestSequence},
-    pace::AssumedPace,
     rollout_evidence::VersionSide,
     rollout_order::{OrderNumber, RolloutOrder, RolloutReport, RolloutStatus},
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
     target_load::TargetEntry,
+    target_speed::AssumedSpeed,
     units::{Moment, TierRank, Tokens},
-    wait_line::WaitingWork,
+    wait_queue::WaitingRequest,
 };
 
 use crate::fleet;
@@ -23,18 +23,18 @@
     Moment::from_millis(1_000 + millis)
 }
 
-fn work(ticket: u64, now: Moment) -> WaitingWork {
-    WaitingWork {
+fn work(ticket: u64, now: Moment) -> WaitingRequest {
+    WaitingRequest {
         ticket: RequestSequence(ticket),
         service: fleet::service(),
         tier: TierRank(1),
         route_tier: TierRank(1),
         engine: false,
         prompt: Tokens(0),
-        part: None,
+        prompt_hash: None,
         events: 1,
         arrived: now,
-        came_back: false,
+        is_retry: false,
         objective_at: now + Duration::from_millis(500),
         leave_at: now + Duration::from_secs(3),
         pause: None,
@@ -52,7 +52,7 @@
         seed: 1,
         retry: Default::default(),
         rollout: fleet::rule(),
-        assumed: AssumedPace::default(),
+        assumed: AssumedSpeed::default(),
     });
     // It has read the list of VMs and is the only one.
     scheduler.list_peers(Moment(1), &[]);
--- a/crates/ryetide-core/tests/scheduler.rs
+++ b/crates/ryetide-core/tests/scheduler.rs
@@ -6,14 +6,14 @@
     decision::{Decision, RefusalReason, RunEnd},
     ids::{Incarnation, RequestSequence, ServiceKey, ServiceName, TargetIncarnation, TargetKey},
     load_digest::{DigestEnvelope, DigestScope, FleetState, LoadDigest, QueueReport, TargetReport},
-    pace::{AssumedPace, FadingMean, PaceReport},
-    place_turn::ClaimClass,
     retry_budget::RetryRule,
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
+    slot_turn::UrgencyClass,
     target_load::TargetEntry,
+    target_speed::{AssumedSpeed, FadingMean, SpeedReport},
     units::{Moment, TierRank, Tokens},
-    wait_line::WaitingWork,
+    wait_queue::WaitingRequest,
 };
 
 const SERVICE: &str = "drafting";
@@ -37,18 +37,18 @@
     }
 }
 
-fn work(ticket: u64, now: Moment, tier: u8, prompt: u64) -> WaitingWork {
-    WaitingWork {
+fn work(ticket: u64, now: Moment, tier: u8, prompt: u64) -> WaitingRequest {
+    WaitingRequest {
         ticket: RequestSequence(ticket),
         service: SERVICE.into(),
         tier: TierRank(tier),
         route_tier: TierRank(tier),
         engine: true,
         prompt: Tokens(prompt),
-        part: None,
+        prompt_hash: None,
         events: 50,
         arrived: now,
-        came_back: false,
+        is_retry: false,
         objective_at: now + Duration::from_millis(1_000),
         leave_at: now + Duration::from_millis(4_000),
         pause: Some(Duration::from_millis(400)),
@@ -74,7 +74,7 @@
             seed: 1,
             retry: RetryRule::default(),
             rollout: Default::default(),
-            assumed: AssumedPace::default(),
+            assumed: AssumedSpeed::default(),
         });
         let entries = targets.iter().map(|(name, slots)| target(name, *slots)).collect();
         // The targets were added well before a test begins, so no turns apply at their slots.
@@ -136,15 +136,15 @@
         target: TargetKey::of(&name.into()),
         running,
         unread: 0,
-        doubtful: false,
-        pace: Some(PaceReport { prompt: figure(prompt), event: figure(event) }),
+        suspected: false,
+        speed: Some(SpeedReport { prompt: figure(prompt), event: figure(event) }),
     }
 }
 
 fn waiting(tier: u8, count: u16) -> QueueReport {
     let service = ServiceKey::of(&ServiceName::from(SERVICE));
     let tier = TierRank(tier);
-    QueueReport { service, class: ClaimClass { late: false, tier, route_tier: tier }, count }
+    QueueReport { service, class: UrgencyClass { late: false, tier, route_tier: tier }, count }
 }
 
 #[test]
@@ -185,8 +185,11 @@
 fn the_more_urgent_route_goes_first_within_a_tier() {
     let mut harness = Harness::new(&[("t1", 1)]);
     harness.enter(at(0), 0, 100);
-    let routine =
-        WaitingWork { route_tier: TierRank(2), objective_at: at(500), ..work(11, at(10), 0, 100) };
+    let routine = WaitingRequest {
+        route_tier: TierRank(2),
+        objective_at: at(500),
+        ..work(11, at(10), 0, 100)
+    };
     harness.scheduler.enter(at(10), routine);
     harness.scheduler.enter(at(20), work(12, at(20), 0, 100));
     harness.placed();
@@ -214,7 +217,7 @@
     let mut harness = Harness::new(&[("t1", 1)]);
     harness.enter(at(0), 0, 100);
     let late = 99;
-    let begun = WaitingWork { begun: true, ..work(late, at(0), 0, 100) };
+    let begun = WaitingRequest { begun: true, ..work(late, at(0), 0, 100) };
     assert!(harness.scheduler.enter_again(at(0), begun, true));
     let fresh = harness.enter(at(1_500), 2, 100);
     harness.placed();
@@ -461,7 +464,7 @@
     let mut detecting = Harness::named("e2", &targets);
     detecting
         .scheduler
-        .enter(at(0), WaitingWork { excluded: key_of("t2"), ..work(1, at(0), 0, 100) });
+        .enter(at(0), WaitingRequest { excluded: key_of("t2"), ..work(1, at(0), 0, 100) });
     detecting.scheduler.end(at(0), RequestSequence(1), RunEnd::Unreachable);
     let digest = detecting.scheduler.digest(at(0), FleetState::default(), false);
     let mut harness = Harness::new(&targets);
@@ -484,7 +487,7 @@
     let behind = harness.enter(at(20), 0, 100);
     harness.scheduler.advance(at(250));
     assert_eq!(harness.placed(), [(probe, "t1".to_owned())]);
-    harness.scheduler.note_event(at(300), RequestSequence(probe));
+    harness.scheduler.record_event(at(300), RequestSequence(probe));
     harness.scheduler.advance(at(301));
     assert_eq!(harness.placed(), [(behind, "t1".to_owned())]);
 }
--- a/crates/ryetide-core/tests/scheduler_load/load_simulation.rs
+++ b/crates/ryetide-core/tests/scheduler_load/load_simulation.rs
@@ -14,18 +14,18 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use ryetide_core::{
     cell_plan::CellMember,
-    deadline_habit::DeadlineHabit,
+    deadline_tracker::DeadlineTracker,
     decision::{Decision, RunEnd},
     digest_route::DigestPeer,
     ids::{Incarnation, RequestSequence, VmName},
     load_digest::{DigestEnvelope, FleetState, LoadDigest},
-    pace::AssumedPace,
     retry_budget::RetryRule,
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
     target_load::TargetEntry,
+    target_speed::AssumedSpeed,
     units::{LinkRate, Moment, TierRank, Tokens},
-    wait_line::WaitingWork,
+    wait_queue::WaitingRequest,
 };
 
 const SLOTS: usize = 9;
@@ -127,7 +127,7 @@
     /// The digest that this VM sent last, while it is in transit.
     in_transit: Option<LoadDigest>,
     is_sending: bool,
-    trackers: [DeadlineHabit; 3],
+    trackers: [DeadlineTracker; 3],
 }
 
 /// One request: its kind, its VM, when it arrived, when its caller first tried, and its engine.
@@ -206,7 +206,7 @@
                 seed: seed + index as u64,
                 retry: RetryRule::default(),
                 rollout: Default::default(),
-                assumed: AssumedPace::default(),
+                assumed: AssumedSpeed::default(),
             });
             scheduler.set_targets(Moment(1), engines.keys().map(entry).collect());
             let others = (0..count).filter(|other| *other != index).map(member);
@@ -279,7 +279,7 @@
             SimEvent::Event(ticket) => {
                 self.first.entry(ticket).or_insert(now);
                 let vm = self.requests[&ticket].vm;
-                self.vms[vm].scheduler.note_event(Moment(now), RequestSequence(ticket));
+                self.vms[vm].scheduler.record_event(Moment(now), RequestSequence(ticket));
             }
             SimEvent::End(ticket) => self.end(now, ticket),
             SimEvent::Send(vm) => {
@@ -312,8 +312,8 @@
         let waited = self.vms[vm].trackers[kind].waited(left);
         let new = work(ticket, &KINDS[kind], Moment(now));
         let objective_at = new.objective_at.before(waited);
-        let came_back = !waited.is_zero();
-        let work = WaitingWork { came_back, objective_at, ..new };
+        let is_retry = !waited.is_zero();
+        let work = WaitingRequest { is_retry, objective_at, ..new };
         self.vms[vm].scheduler.enter(Moment(now), work);
     }
 
@@ -387,18 +387,18 @@
     }
 }
 
-fn work(ticket: u64, kind: &Kind, now: Moment) -> WaitingWork {
-    WaitingWork {
+fn work(ticket: u64, kind: &Kind, now: Moment) -> WaitingRequest {
+    WaitingRequest {
         ticket: RequestSequence(ticket),
         service: "drafting".into(),
         tier: TierRank(kind.tier),
         route_tier: TierRank(kind.tier),
         engine: true,
         prompt: Tokens(kind.prompt),
-        part: None,
+        prompt_hash: None,
         events: kind.events as u32,
         arrived: now,
-        came_back: false,
+        is_retry: false,
         objective_at: now + kind.objective,
         leave_at: now + kind.patience,
         pause: Some(Duration::from_millis(400)),
--- a/crates/ryetide-core/tests/target_limit/fleet.rs
+++ b/crates/ryetide-core/tests/target_limit/fleet.rs
@@ -8,14 +8,14 @@
     decision::{Decision, RunEnd},
     ids::{Incarnation, RequestSequence, TargetKey},
     load_digest::{DigestEnvelope, FleetState, LoadDigest},
-    pace::AssumedPace,
     retry_budget::RetryRule,
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
     target_load::TargetEntry,
     target_notice::LimitNotice,
+    target_speed::AssumedSpeed,
     units::{Moment, RequestRate, TierRank, Tokens},
-    wait_line::WaitingWork,
+    wait_queue::WaitingRequest,
 };
 
 /// A VM observes a limit within this time after it has relayed an answer that announces the limit.
@@ -151,7 +151,7 @@
         seed: vm as u64 + now.0,
         retry: RetryRule::default(),
         rollout: Default::default(),
-        assumed: AssumedPace::default(),
+        assumed: AssumedSpeed::default(),
     });
     scheduler.set_targets(now, (0..targets).map(entry).collect());
     SimulatedVm {
@@ -228,17 +228,17 @@
     fn submit(&mut self, vm: usize) {
         let (ticket, now) = (RequestSequence(self.next), self.now);
         self.next += 1;
-        let work = WaitingWork {
+        let work = WaitingRequest {
             ticket,
             service: "desk".into(),
             tier: TierRank(0),
             route_tier: TierRank(0),
             engine: false,
             prompt: Tokens(0),
-            part: None,
+            prompt_hash: None,
             events: 1,
             arrived: now,
-            came_back: false,
+            is_retry: false,
             objective_at: now + Duration::from_millis(150),
             leave_at: now + PATIENCE,
             pause: None,
--- a/crates/ryetide-core/tests/target_notice.rs
+++ b/crates/ryetide-core/tests/target_notice.rs
@@ -5,15 +5,15 @@
 use ryetide_core::{
     decision::{Decision, RefusalReason},
     ids::{Incarnation, RequestSequence, TargetKey},
-    pace::AssumedPace,
     retry_budget::RetryRule,
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
     target_load::TargetEntry,
     target_notice::LimitNotice,
     target_registry::{RegistryUpdate, TargetRegistry},
+    target_speed::AssumedSpeed,
     units::{Moment, RequestRate, TierRank, Tokens},
-    wait_line::WaitingWork,
+    wait_queue::WaitingRequest,
 };
 
 /// The network delay between two VMs.
@@ -137,24 +137,24 @@
         seed: 1,
         retry: RetryRule::default(),
         rollout: Default::default(),
-        assumed: AssumedPace::default(),
+        assumed: AssumedSpeed::default(),
     });
     scheduler.set_targets(at(1), names.iter().map(|name| entry(name)).collect());
     scheduler
 }
 
-fn work(ticket: u64, now: Moment, patience: Duration) -> WaitingWork {
-    WaitingWork {
+fn work(ticket: u64, now: Moment, patience: Duration) -> WaitingRequest {
+    WaitingRequest {
         ticket: RequestSequence(ticket),
         service: "desk".into(),
         tier: TierRank(0),
         route_tier: TierRank(0),
         engine: false,
         prompt: Tokens(0),
-        part: None,
+        prompt_hash: None,
         events: 1,
         arrived: now,
-        came_back: false,
+        is_retry: false,
         objective_at: now + patience / 2,
         leave_at: now + patience,
         pause: None,
@@ -171,7 +171,7 @@
     let now = at(1_000);
     let back_offs = [("a", 10), ("b", 15)];
     for (name, seconds) in back_offs {
-        scheduler.hold_off(now, entry(name).key(), Duration::from_secs(seconds));
+        scheduler.back_off(now, entry(name).key(), Duration::from_secs(seconds));
     }
     scheduler.enter(now, work(1, now, Duration::from_secs(4)));
     let decisions = scheduler.take_decisions();
@@ -189,7 +189,7 @@
     let mut scheduler = scheduler(&["a"]);
     let now = at(1_000);
     let span = Duration::from_secs(1);
-    scheduler.hold_off(now, entry("a").key(), span);
+    scheduler.back_off(now, entry("a").key(), span);
     scheduler.enter(now, work(1, now, span * 4));
     let mut time = now;
     while scheduler.take_decisions().is_empty() {
--- a/crates/ryetide-core/tests/watcher_selection.rs
+++ b/crates/ryetide-core/tests/watcher_selection.rs
@@ -6,10 +6,10 @@
     cell_plan::CellMember,
     ids::{Incarnation, VmName},
     load_digest::{DigestEnvelope, FleetState},
-    pace::AssumedPace,
     retry_budget::RetryRule,
     scheduler::Scheduler,
     scheduler_options::SchedulerOptions,
+    target_speed::AssumedSpeed,
     units::{LinkRate, Moment},
     watcher_selection::{WATCHER_COUNT, WatchOrder, WatchReport},
 };
@@ -35,9 +35,9 @@
                 data_centre: "hall-a".into(),
                 incarnation: Incarnation(1),
                 seed: index as u64,
-                retry: RetryRule { part: 0.2, window: Duration::from_secs(10), slack: 50.0 },
+                retry: RetryRule { share: 0.2, window: Duration::from_secs(10), slack: 50.0 },
                 rollout: Default::default(),
-                assumed: AssumedPace::default(),
+                assumed: AssumedSpeed::default(),
             });
             let others: Vec<_> = (0..size).filter(|other| *other != index).map(member).collect();
             scheduler.list_peers(Moment::from_millis(1), &others);
--- a/crates/ryetide-gateway/src/decision_log.rs
+++ b/crates/ryetide-gateway/src/decision_log.rs
@@ -8,7 +8,7 @@
 use std::{cell::RefCell, time::Duration};
 
 use ryetide_core::{
-    decision::{PlacingEvidence, RunEnd},
+    decision::{PlacementEvidence, RunEnd},
     ids::{OrganisationName, RequestSequence, VmName},
     request_fingerprint::RequestFingerprint,
     target_load::TargetEntry,
@@ -86,7 +86,7 @@
         &self,
         request: &LogId<'_>,
         target: &TargetEntry,
-        evidence: &PlacingEvidence,
+        evidence: &PlacementEvidence,
         waited: Duration,
         revision: Revision,
     ) {
@@ -109,7 +109,7 @@
             expected_ms = millis(evidence.forecast.first),
             to_read = evidence.forecast.to_read.0,
             running = evidence.running,
-            line = evidence.line,
+            line = evidence.waiting,
             late = evidence.late,
             on_time = evidence.forecast.on_time,
         );
--- a/crates/ryetide-gateway/src/exchange.rs
+++ b/crates/ryetide-gateway/src/exchange.rs
@@ -12,7 +12,7 @@
     http,
 };
 use ryetide_core::{
-    decision::{Decision, PlacingEvidence, RunEnd},
+    decision::{Decision, PlacementEvidence, RunEnd},
     ids::{RouteKey, ServiceName, TargetKey},
     quota::QuotaCharge,
     request_fingerprint::RequestFingerprint,
@@ -20,7 +20,7 @@
     route::{MatchedRoute, WorkKind},
     target_load::TargetEntry,
     units::{Moment, Tokens},
-    wait_line::WaitingWork,
+    wait_queue::WaitingRequest,
 };
 use tokio::time::{self, Instant};
 
@@ -91,7 +91,7 @@
     attempts: u32,
     excluded: Vec<TargetKey>,
     charge: Option<QuotaCharge>,
-    evidence: Option<PlacingEvidence>,
+    evidence: Option<PlacementEvidence>,
     target: Option<TargetEntry>,
     placed_at: Option<Moment>,
     /// When it was placed last.
@@ -200,7 +200,7 @@
         let now = self.gateway.hub().clock().now();
         let ask = quota_wait::ask_of(now, holder, self.size.quota_tokens(), &self.work());
         let Some(ask) = ask else { return Ok(()) };
-        match self.ticket.ask_quota(ask).await {
+        match self.ticket.request_quota(ask).await {
             Ok(()) => {
                 self.charge = Some(ask.charge);
                 Ok(())
@@ -279,8 +279,8 @@
         loop {
             let (target, evidence) = match decision {
                 Some(Decision::Place { target, evidence, .. }) => (target, evidence),
-                Some(Decision::Refuse { reason, retry_after, line, .. }) => {
-                    self.gateway.log().refused(&self.log_id(), reason.into(), retry_after, line);
+                Some(Decision::Refuse { reason, retry_after, waiting, .. }) => {
+                    self.gateway.log().refused(&self.log_id(), reason.into(), retry_after, waiting);
                     return DispatchEnd::Own(OwnAnswer::new(reason.into()).with_retry(retry_after));
                 }
                 None => {
@@ -405,7 +405,7 @@
         if self.attempts == 0
             && let Some(charge) = self.charge.take()
         {
-            self.gateway.hub().with(|scheduler, _| scheduler.give_back(charge));
+            self.gateway.hub().with(|scheduler, _| scheduler.refund(charge));
         }
         self.finish(RunEnd::Failed);
         self.gateway.answer_own(self.id.as_ref(), answer)
@@ -414,7 +414,7 @@
     /// Notes a piece of the answer.
     pub fn note_piece(&mut self) {
         if self.is_stream() {
-            self.ticket.note_event();
+            self.ticket.record_event();
         }
         self.pieces += 1;
         let now = self.gateway.hub().clock().now();
@@ -507,7 +507,7 @@
         self.gateway.hub().peek_mut(|it| it.crashes_mut().record_answered(now, fingerprint));
     }
 
-    fn note_placed(&mut self, target: &TargetEntry, evidence: PlacingEvidence) {
+    fn note_placed(&mut self, target: &TargetEntry, evidence: PlacementEvidence) {
         let now = self.gateway.hub().clock().now();
         self.placed_at = Some(self.placed_at.unwrap_or(now));
         self.sent_at = now;
@@ -520,7 +520,7 @@
     }
 
     /// Returns what the scheduler must know of the request.
-    fn work(&self) -> WaitingWork {
+    fn work(&self) -> WaitingRequest {
         let route = &self.matched.route;
         let engine = self.gateway.fleet().engine(&self.service);
         let prompt = self.size.prompt.unwrap_or_default();
@@ -535,17 +535,17 @@
         let pause = route.pause.filter(|_| self.last_at.is_some());
         let asked = if self.last_at.is_some() { heard } else { heard.before(self.waited) };
         let objective_at = asked + pause.unwrap_or(route.objective);
-        WaitingWork {
+        WaitingRequest {
             ticket: self.ticket.number(),
             service: self.service.clone(),
             tier: self.matched.tier(),
             route_tier: route.tier,
             engine: route.kind.is_stream(),
             prompt,
-            part: self.size.part,
+            prompt_hash: self.size.prompt_hash,
             events: u32::try_from(output / u64::from(per_event)).unwrap_or(u32::MAX),
             arrived: self.arrived,
-            came_back: !self.waited.is_zero(),
+            is_retry: !self.waited.is_zero(),
             objective_at,
             leave_at,
             pause: route.pause,
--- a/crates/ryetide-gateway/src/gateway.rs
+++ b/crates/ryetide-gateway/src/gateway.rs
@@ -10,7 +10,8 @@
 use rand::Rng;
 use ryetide::error::StepError;
 use ryetide_core::{
-    ids::Incarnation, pace::AssumedPace, scheduler::Scheduler, scheduler_options::SchedulerOptions,
+    ids::Incarnation, scheduler::Scheduler, scheduler_options::SchedulerOptions,
+    target_speed::AssumedSpeed,
 };
 use tokio::{
     net::{TcpListener, UdpSocket},
@@ -171,7 +172,7 @@
         seed: rand::rng().random(),
         retry: settings.retry,
         rollout: settings.rollout,
-        assumed: AssumedPace::default(),
+        assumed: AssumedSpeed::default(),
     });
     tracing::info!(
         event = "started",
--- a/crates/ryetide-gateway/src/gateway_state.rs
+++ b/crates/ryetide-gateway/src/gateway_state.rs
@@ -9,7 +9,7 @@
 
 use hyper::{HeaderMap, header::HeaderValue};
 use ryetide_core::{
-    deadline_habit::DeadlineHabit, ids::VmName, load_digest::FleetState, scheduler::Scheduler,
+    deadline_tracker::DeadlineTracker, ids::VmName, load_digest::FleetState, scheduler::Scheduler,
     target_load::TargetEntry,
 };
 use tokio::sync::Notify;
@@ -41,7 +41,7 @@
     relay: Rc<FeedRelay>,
     peers: RefCell<BTreeMap<VmName, PeerEntry>>,
     /// The times that callers of each route begin with.
-    habits: RefCell<HashMap<String, DeadlineHabit>>,
+    habits: RefCell<HashMap<String, DeadlineTracker>>,
     crashes: CrashWatch,
     metrics: GatewayMetrics,
     log: DecisionLog,
--- a/crates/ryetide-gateway/src/gateway_text.rs
+++ b/crates/ryetide-gateway/src/gateway_text.rs
@@ -178,13 +178,13 @@
 fn read_retry(reader: &mut FaultReader, node: TextNode<'_>) -> Option<RetryRule> {
     reader.mapping(node, &["part", "window", "slack"]);
     let defaults = RetryRule::default();
-    let part = reader.optional(node, "part", defaults.part, FaultReader::fraction);
+    let part = reader.optional(node, "part", defaults.share, FaultReader::fraction);
     let window = reader
         .optional(node, "window", defaults.window, |reader, value| reader.span(value, SPAN_RANGE));
     let slack = reader.optional(node, "slack", defaults.slack as u64, |reader, value| {
         reader.number(value, SLACK_RANGE)
     });
-    Some(RetryRule { part: part?, window: window?, slack: slack? as f64 })
+    Some(RetryRule { share: part?, window: window?, slack: slack? as f64 })
 }
 
 fn read_rollout(reader: &mut FaultReader, node: TextNode<'_>) -> Option<RolloutRule> {
--- a/crates/ryetide-gateway/src/own_headers.rs
+++ b/crates/ryetide-gateway/src/own_headers.rs
@@ -41,7 +41,7 @@
             prompt: tokens(PROMPT_TOKENS),
             output_limit: tokens(OUTPUT_LIMIT),
             output_hint: tokens(OUTPUT_HINT),
-            part: text(PROMPT_NAME).map(|name| xxh3::xxh3_64(name.as_bytes()) as u32),
+            prompt_hash: text(PROMPT_NAME).map(|name| xxh3::xxh3_64(name.as_bytes()) as u32),
         }
     }
 }
--- a/crates/ryetide-gateway/src/ports.rs
+++ b/crates/ryetide-gateway/src/ports.rs
@@ -95,7 +95,7 @@
     /// Tokens that the caller expects to be generated.
     pub output_hint: Option<Tokens>,
     /// A hash of the prompt's last part, by which the same prompt is known again.
-    pub part: Option<u32>,
+    pub prompt_hash: Option<u32>,
 }
 
 impl WorkSize {
--- a/crates/ryetide-gateway/src/quota_wait.rs
+++ b/crates/ryetide-gateway/src/quota_wait.rs
@@ -3,10 +3,10 @@
 use ryetide_core::{
     ids::OrganisationKey,
     quota::QuotaCharge,
-    quota_desk::{QuotaAsk, QuotaClass},
+    quota_allocator::{QuotaClass, QuotaRequest},
     route::KeyHolder,
     units::Moment,
-    wait_line::WaitingWork,
+    wait_queue::WaitingRequest,
 };
 
 /// The part of the time until its objective for which a request may wait for its quota; it needs the rest to get a
@@ -21,13 +21,13 @@
     now: Moment,
     holder: &KeyHolder,
     tokens: Option<u64>,
-    work: &WaitingWork,
-) -> Option<QuotaAsk> {
+    work: &WaitingRequest,
+) -> Option<QuotaRequest> {
     let rule = holder.quota?;
     let charge =
         QuotaCharge { key: OrganisationKey::of(&holder.name), units: rule.cost_of(tokens) };
     let late = work.objective_at <= now;
     let longest = work.objective_at.since(now).mul_f64(OBJECTIVE_PART);
     let class = QuotaClass { tier: work.tier, route_tier: work.route_tier };
-    Some(QuotaAsk { ticket: work.ticket, charge, rule, class, late, wait_until: now + longest })
+    Some(QuotaRequest { ticket: work.ticket, charge, rule, class, late, wait_until: now + longest })
 }
--- a/crates/ryetide-gateway/src/scheduler_hub.rs
+++ b/crates/ryetide-gateway/src/scheduler_hub.rs
@@ -10,10 +10,10 @@
 use ryetide_core::{
     decision::{Decision, RunEnd},
     ids::RequestSequence,
-    quota_desk::{QuotaAnswer, QuotaAsk, QuotaVerdict},
+    quota_allocator::{QuotaReply, QuotaRequest, QuotaWaitResult},
     scheduler::Scheduler,
     units::Moment,
-    wait_line::WaitingWork,
+    wait_queue::WaitingRequest,
 };
 use tokio::{
     sync::{Notify, oneshot},
@@ -106,13 +106,13 @@
     }
 
     fn deliver_verdicts(&self) {
-        let verdicts = self.scheduler.borrow_mut().take_verdicts();
-        for QuotaVerdict { ticket, charge, outcome } in verdicts {
+        let verdicts = self.scheduler.borrow_mut().take_quota_results();
+        for QuotaWaitResult { ticket, charge, outcome } in verdicts {
             let waiter = self.quota_waiters.borrow_mut().remove(&ticket);
             let told = waiter.is_some_and(|waiter| waiter.send(outcome).is_ok());
             if !told && outcome.is_ok() {
                 // The caller left in the same turn, and its units are free again.
-                self.scheduler.borrow_mut().give_back(charge);
+                self.scheduler.borrow_mut().refund(charge);
             }
         }
     }
@@ -157,12 +157,12 @@
     /// # Errors
     ///
     /// Returns when to come back, when the quota is used up.
-    pub async fn ask_quota(&self, ask: QuotaAsk) -> Result<(), Duration> {
-        let answer = self.hub.with(|scheduler, now| scheduler.ask_quota(now, ask));
+    pub async fn request_quota(&self, ask: QuotaRequest) -> Result<(), Duration> {
+        let answer = self.hub.with(|scheduler, now| scheduler.request_quota(now, ask));
         match answer {
-            QuotaAnswer::Taken => return Ok(()),
-            QuotaAnswer::Over(wait) => return Err(wait),
-            QuotaAnswer::Waits => {}
+            QuotaReply::Taken => return Ok(()),
+            QuotaReply::Over(wait) => return Err(wait),
+            QuotaReply::Waits => {}
         }
         let (sender, verdict) = oneshot::channel();
         self.hub.quota_waiters.borrow_mut().insert(self.number, sender);
@@ -171,7 +171,7 @@
     }
 
     /// Takes the request in, and returns what becomes of it.
-    pub async fn enter(&self, work: WaitingWork) -> Option<Decision> {
+    pub async fn enter(&self, work: WaitingRequest) -> Option<Decision> {
         let decision = self.wait();
         self.hub.with(|scheduler, now| scheduler.enter(now, work));
         // The other end lives as long as the gateway.
@@ -180,7 +180,7 @@
 
     /// Lets the request wait for another target. Returns nothing when the budget of repeats does not
     /// permit it.
-    pub async fn enter_again(&self, work: WaitingWork, arrived_there: bool) -> Option<Decision> {
+    pub async fn enter_again(&self, work: WaitingRequest, arrived_there: bool) -> Option<Decision> {
         let decision = self.wait();
         let act = |scheduler: &mut Scheduler, now| scheduler.enter_again(now, work, arrived_there);
         if !self.hub.with(act) {
@@ -191,8 +191,8 @@
     }
 
     /// Notes an event of the request's stream.
-    pub fn note_event(&self) {
-        self.hub.with(|scheduler, now| scheduler.note_event(now, self.number));
+    pub fn record_event(&self) {
+        self.hub.with(|scheduler, now| scheduler.record_event(now, self.number));
     }
 
     /// Notes that the request is not under way any more.
--- a/crates/ryetide-gateway/src/target_words.rs
+++ b/crates/ryetide-gateway/src/target_words.rs
@@ -25,7 +25,7 @@
     gateway.log().word(request, target, word);
     let key = target.key();
     if let Some(span) = word.hold_off {
-        gateway.hub().with(|scheduler, now| scheduler.hold_off(now, key, span));
+        gateway.hub().with(|scheduler, now| scheduler.back_off(now, key, span));
     }
     let now = gateway.hub().clock().now();
     let registry = gateway.fleet().registry();
--- a/crates/ryetide-gateway/tests/serving/support.rs
+++ b/crates/ryetide-gateway/tests/serving/support.rs
@@ -328,7 +328,7 @@
             status: any,
             peers: any,
             grace: Duration::from_secs(3),
-            retry: RetryRule { part: 0.2, window: Duration::from_secs(10), slack: 100.0 },
+            retry: RetryRule { share: 0.2, window: Duration::from_secs(10), slack: 100.0 },
             rollout: Default::default(),
             link: LinkRate(0),
         };
