--- a/crates/ryetide-core/src/chart.rs
+++ b/crates/ryetide-core/src/chart.rs
@@ -1,25 +1,25 @@
 //! State charts: read from YAML files, checked when loaded, and interpreted.
 //!
-//! The files lie under `charts/` and are embedded at build time. The code asks a chart for the
-//! state that follows, and never decides one itself, so the files are the whole truth about which
-//! transitions exist. The fault matrix and the docs read the same files.
+//! The files in `charts/` are embedded at build time. The code takes every next state from a chart
+//! and has no transition logic of its own, so the files list all transitions that exist. The fault
+//! matrix test and the documentation are derived from the same files.
 
 use std::{cell, collections::BTreeMap, fmt, hash, marker, sync};
 
 use serde::{Deserialize, Serialize, de};
 
-/// A set of names used in a chart: its states, or its events.
+/// An enum whose variants are the states or the events of a chart.
 pub trait ChartName:
     Copy + Eq + Ord + hash::Hash + fmt::Debug + de::DeserializeOwned + 'static
 {
-    /// Every name, in the order of their indices.
+    /// Every variant, ordered by index.
     const ALL: &'static [Self];
 
-    /// Returns the place of this name in [`ChartName::ALL`].
+    /// Returns the index of this variant in [`ChartName::ALL`].
     fn index(self) -> usize;
 }
 
-/// Defines an enum of chart names in snake case.
+/// Defines an enum of states or events, named in snake case in the chart's file.
 macro_rules! chart_names {
     ($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident),* $(,)? }) => {
         $(#[$doc])*
@@ -42,25 +42,25 @@
 chart_names!(
     /// The states of a request.
     RequestState {
-        /// Taken from the caller, not yet admitted.
+        /// Received from the caller, not yet admitted.
         Received,
         /// Its idempotency key is being claimed.
         Claiming,
-        /// Waiting for a grant.
+        /// Queued for a slot at a target.
         Asking,
         /// A connection to the granted target is being opened.
         Connecting,
-        /// Bytes may have gone out; it counts as dispatched.
+        /// Bytes may have been sent to the target; the request counts as dispatched.
         Dispatching,
-        /// The target has begun to answer.
+        /// The target has started to answer.
         Running,
-        /// The stream broke; the rest is being asked for.
+        /// The stream broke; the rest is requested over a new connection.
         Resuming,
         /// The whole answer was received.
         Answered,
-        /// It did not run.
+        /// The request did not run.
         NotRun,
-        /// It may have run.
+        /// The request may have run; its outcome is unknown.
         Unknown,
     }
 );
@@ -68,29 +68,29 @@
 chart_names!(
     /// The events of a request.
     RequestEvent {
-        /// It was found valid and needs no claim.
+        /// The request is valid and needs no claim of an idempotency key.
         Admit,
-        /// It was found valid and needs a claim first.
+        /// The request is valid and its idempotency key must be claimed first.
         Claim,
-        /// The claim is held.
+        /// This VM holds the claim.
         Claimed,
         /// A slot at a target was granted.
         Grant,
-        /// A connection stands.
+        /// The connection to the target is open.
         Connected,
         /// No connection could be opened; nothing was sent.
         ConnectFailed,
-        /// Bytes of the answer came.
+        /// Bytes of the answer were received.
         Piece,
-        /// The answer is whole.
+        /// The answer is complete.
         End,
-        /// The stream broke or fell silent.
+        /// The stream broke, or nothing was received for too long.
         Broken,
-        /// The target refused, and its contract says that nothing ran.
+        /// The target refused, and its contract guarantees that nothing ran.
         Refused,
-        /// This VM gives the request up before dispatch.
+        /// This VM abandons the request before dispatch.
         GiveUp,
-        /// This VM can no longer find out what became of it.
+        /// This VM can no longer determine the outcome.
         LoseTrack,
     }
 );
@@ -98,15 +98,15 @@
 chart_names!(
     /// The states of a peer.
     PeerState {
-        /// Known by name, never heard.
+        /// Known by name; no message has been received from it.
         Listed,
-        /// Heard lately.
+        /// A message was received from it within the timeout.
         Alive,
-        /// Not heard for the timeout.
+        /// No message was received from it within the timeout.
         Silent,
-        /// It said that it leaves.
+        /// It announced that it is leaving.
         Leaving,
-        /// Forgotten.
+        /// Removed from the peer table.
         Gone,
     }
 );
@@ -114,13 +114,13 @@
 chart_names!(
     /// The events of a peer.
     PeerEvent {
-        /// A message came.
+        /// A message was received.
         Heard,
-        /// The timeout passed without one.
+        /// The timeout passed without a message.
         Silent,
-        /// It said that it leaves.
+        /// It announced that it is leaving.
         Goodbye,
-        /// The platform's list no longer names it.
+        /// The platform's list no longer contains it.
         Delisted,
     }
 );
@@ -128,11 +128,11 @@
 chart_names!(
     /// The states of a target.
     TargetState {
-        /// It may be granted.
+        /// Its slots may be granted.
         Usable,
-        /// Connections to it failed lately.
+        /// A connection to it failed recently.
         Suspect,
-        /// It is leaving.
+        /// It is shutting down and gets no new requests.
         Leaving,
     }
 );
@@ -144,11 +144,11 @@
         Answered,
         /// A connection to it failed.
         ConnectFailed,
-        /// The pause after failures is over.
+        /// The back-off after a failed connection has ended.
         PauseOver,
-        /// A sign of its leaving was seen.
+        /// The target or the platform's list announced that it is leaving.
         Leaving,
-        /// It says, or the list says, that it stays.
+        /// The target or the platform's list announced that it stays.
         Stayed,
     }
 );
@@ -162,9 +162,9 @@
         InForce,
         /// An edit is being written.
         Writing,
-        /// The answer to the write was lost.
+        /// The answer to the write was lost, so its outcome is unknown.
         Uncertain,
-        /// The edit lost against another.
+        /// Another edit won; this one did not take effect.
         Settled,
     }
 );
@@ -172,15 +172,15 @@
 chart_names!(
     /// The events of the configuration.
     ConfigurationEvent {
-        /// A higher revision arrived.
+        /// A higher revision was received.
         Adopt,
-        /// An operator applies a text.
+        /// An operator applies a new services text.
         Apply,
         /// The write took effect.
         Written,
         /// Another edit took effect instead.
         Collided,
-        /// No answer, or one that says nothing.
+        /// The write got no answer, or one that does not tell its outcome.
         Lost,
     }
 );
@@ -188,11 +188,11 @@
 chart_names!(
     /// The states of a shutdown.
     DrainState {
-        /// Serving.
+        /// Accepting and serving requests.
         Serving,
-        /// Finishing what runs.
+        /// Accepting nothing new; completing requests in flight.
         Draining,
-        /// Nothing is left.
+        /// No requests are left.
         Drained,
     }
 );
@@ -200,58 +200,58 @@
 chart_names!(
     /// The events of a shutdown.
     DrainEvent {
-        /// The process was told to stop.
+        /// The process received a request to stop.
         Shutdown,
-        /// Nothing runs any more.
+        /// No request is in flight any more.
         Idle,
     }
 );
 
 chart_names!(
-    /// The states of a roll-out.
+    /// The states of a rollout.
     RolloutState {
-        /// What became of the order so far is not known.
+        /// The current status of the order is not known yet.
         Asked,
-        /// The new version gets a bounded share.
+        /// The new version gets a bounded share of the requests.
         Trial,
-        /// It was found good and gets everything new.
+        /// The new version passed its trial and gets all new requests.
         Moving,
-        /// Nothing is left at the old version.
+        /// No requests are left at the old version, or the time to wait for them is over.
         Emptied,
-        /// It was found bad and gets nothing.
+        /// The new version failed and gets no requests.
         Condemned,
-        /// The operators were told that it is done.
+        /// The operators' row says that the rollout is complete.
         Completed,
-        /// The operators were told that it was taken back.
+        /// The operators' row says that the rollout was rolled back.
         RolledBack,
     }
 );
 
 chart_names!(
-    /// The events of a roll-out.
+    /// The events of a rollout.
     RolloutEvent {
-        /// It is known that nothing was decided yet.
+        /// The status of the order is known: nothing has been decided yet.
         Opened,
-        /// The evidence says that the new version is good.
+        /// The measurements show that the new version is good.
         Passed,
-        /// It says that it is bad, or the time is over without any.
+        /// The measurements show that it is bad, or were too few when the time ran out.
         Failed,
-        /// Nothing runs at the old version, or it cannot be waited for any longer.
+        /// No requests run at the old version, or the time to wait for them is over.
         Emptied,
-        /// The operators' row says that it is done.
+        /// The operators' row says that the rollout is complete.
         RowCompleted,
-        /// The operators' row says that it was taken back.
+        /// The operators' row says that the rollout was rolled back.
         RowRolledBack,
     }
 );
 
-/// A fault in a chart's file.
+/// An error in a chart's file.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ChartError {
-    /// The file is not YAML of the expected shape; duplicate keys count as that.
+    /// The file is not valid YAML, has a duplicate key, or does not match the schema of a chart.
     #[error("chart does not parse: {0}")]
     Shape(String),
-    /// A state that the code knows is missing from the file.
+    /// The file lacks a state that the code defines.
     #[error("chart {chart}: state {state} is missing")]
     MissingState {
         /// The chart.
@@ -259,7 +259,7 @@
         /// The state.
         state: String,
     },
-    /// No path of transitions leads to a state.
+    /// No path of transitions leads from the initial state to this state.
     #[error("chart {chart}: state {state} cannot be reached")]
     Unreachable {
         /// The chart.
@@ -267,7 +267,7 @@
         /// The state.
         state: String,
     },
-    /// A state says nothing about an event.
+    /// A state that is not terminal neither handles nor ignores an event.
     #[error("chart {chart}: state {state} neither handles nor ignores {event}")]
     MissingEvent {
         /// The chart.
@@ -277,7 +277,7 @@
         /// The event.
         event: String,
     },
-    /// A state says two things about an event.
+    /// A state names an event more than once.
     #[error("chart {chart}: state {state} names {event} twice")]
     Nondeterministic {
         /// The chart.
@@ -308,7 +308,7 @@
     terminal: bool,
 }
 
-/// A checked chart with states `S` and events `E`.
+/// A validated state chart with states `S` and events `E`.
 ///
 /// # Example
 ///
@@ -323,18 +323,18 @@
 pub struct StateChart<S, E> {
     name: String,
     initial: S,
-    /// The state that follows, by state and then event.
+    /// The next state for each state and event, row by row for each state; `None` if ignored.
     table: Vec<Option<S>>,
     terminal: Vec<bool>,
     events: marker::PhantomData<E>,
 }
 
 impl<S: ChartName, E: ChartName> StateChart<S, E> {
-    /// Reads and checks a chart.
+    /// Parses and validates a chart.
     ///
     /// # Errors
     ///
-    /// Returns the first [`ChartError`] found.
+    /// Returns the first [`ChartError`] found in `text`.
     pub fn parse(text: &str) -> Result<Self, ChartError> {
         let file: ChartFile<S, E> =
             serde_saphyr::from_str(text).map_err(|error| ChartError::Shape(error.to_string()))?;
@@ -350,28 +350,28 @@
                 chart: chart.name.clone(),
                 state: format!("{state:?}"),
             })?;
-            chart.fill(*state, entry)?;
+            chart.add_state(*state, entry)?;
         }
         chart.check_reachable()?;
         Ok(chart)
     }
 
-    fn fill(&mut self, state: S, entry: &StateEntry<S, E>) -> Result<(), ChartError> {
+    fn add_state(&mut self, state: S, entry: &StateEntry<S, E>) -> Result<(), ChartError> {
         self.terminal[state.index()] = entry.terminal;
         for event in E::ALL {
             let handled = entry.on.get(event).copied();
             let ignored = entry.ignore.iter().filter(|name| *name == event).count();
-            let named = usize::from(handled.is_some()) + ignored;
+            let mentions = usize::from(handled.is_some()) + ignored;
             let (chart, state_name) = (self.name.clone(), format!("{state:?}"));
             let event_name = format!("{event:?}");
-            if named > 1 {
+            if mentions > 1 {
                 return Err(ChartError::Nondeterministic {
                     chart,
                     state: state_name,
                     event: event_name,
                 });
             }
-            if named == 0 && !entry.terminal {
+            if mentions == 0 && !entry.terminal {
                 return Err(ChartError::MissingEvent {
                     chart,
                     state: state_name,
@@ -384,15 +384,15 @@
     }
 
     fn check_reachable(&self) -> Result<(), ChartError> {
-        let mut seen = vec![false; S::ALL.len()];
+        let mut reached = vec![false; S::ALL.len()];
         let mut pending = vec![self.initial];
         while let Some(state) = pending.pop() {
-            if std::mem::replace(&mut seen[state.index()], true) {
+            if std::mem::replace(&mut reached[state.index()], true) {
                 continue;
             }
             pending.extend(E::ALL.iter().filter_map(|event| self.next(state, *event)));
         }
-        match S::ALL.iter().find(|state| !seen[state.index()]) {
+        match S::ALL.iter().find(|state| !reached[state.index()]) {
             None => Ok(()),
             Some(state) => Err(ChartError::Unreachable {
                 chart: self.name.clone(),
@@ -401,27 +401,27 @@
         }
     }
 
-    /// Returns the chart's name.
+    /// Returns the name of the chart.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Returns the state in which everything begins.
+    /// Returns the initial state.
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// Returns whether nothing follows `state`.
+    /// Returns whether `state` is terminal.
     pub fn is_terminal(&self, state: S) -> bool {
         self.terminal[state.index()]
     }
 
-    /// Returns the state that follows, or nothing when the event is ignored in `state`.
+    /// Returns the next state, or `None` when `state` ignores the event.
     pub fn next(&self, state: S, event: E) -> Option<S> {
         self.table[state.index() * E::ALL.len() + event.index()]
     }
 
-    /// Moves `state` along `event`; returns whether the event was taken.
+    /// Applies `event` to `state`; returns whether there was a transition.
     pub fn advance(&self, state: &mut S, event: E) -> bool {
         match self.next(*state, event) {
             Some(next) => {
@@ -433,7 +433,7 @@
         }
     }
 
-    /// Returns every transition as state, event and state that follows.
+    /// Returns every transition as state, event and next state.
     pub fn transitions(&self) -> impl Iterator<Item = (S, E, S)> + '_ {
         S::ALL.iter().flat_map(move |state| {
             E::ALL.iter().filter_map(move |event| {
@@ -449,7 +449,7 @@
 }
 
 thread_local! {
-    /// Transitions taken on this thread, while they are recorded.
+    /// The transitions of this thread, while recording is on.
     static RECORDED: cell::RefCell<Option<Vec<String>>> = const { cell::RefCell::new(None) };
 }
 
@@ -461,13 +461,13 @@
     });
 }
 
-/// Begins to record the transitions taken on this thread, for tests that place faults at each step.
-/// Nothing is decided by what is recorded.
+/// Starts to record the transitions of this thread, for tests that inject a fault at each one.
+/// The recording does not influence the charts.
 pub fn start_recording() {
     RECORDED.set(Some(Vec::new()));
 }
 
-/// Returns the transitions recorded since the last call, and goes on recording.
+/// Returns the transitions recorded since the last call; recording continues.
 pub fn take_recorded() -> Vec<String> {
     RECORDED.with_borrow_mut(|recorded| recorded.as_mut().map(std::mem::take).unwrap_or_default())
 }
@@ -479,7 +479,7 @@
         ///
         /// # Panics
         ///
-        /// Panics when the embedded file is faulty, which a test rules out.
+        /// Panics when the embedded file is invalid, which a test rules out.
         pub fn $function() -> &'static StateChart<$state, $event> {
             static CHART: sync::LazyLock<StateChart<$state, $event>> =
                 sync::LazyLock::new(|| match StateChart::parse(include_str!($file)) {
@@ -512,6 +512,6 @@
     drain: DrainState, DrainEvent, "../../../charts/drain.yaml"
 );
 embedded_chart!(
-    /// Returns the chart of a roll-out.
+    /// Returns the chart of a rollout.
     rollout: RolloutState, RolloutEvent, "../../../charts/rollout.yaml"
 );
--- a/crates/ryetide-core/tests/chart.rs
+++ b/crates/ryetide-core/tests/chart.rs
@@ -1,10 +1,10 @@
-//! Charts are checked when they are loaded.
+//! Tests of the checks that a chart must pass when it is loaded.
 
 use ryetide_core::chart::{ChartError, DrainEvent, DrainState, StateChart};
 
 type DrainChart = StateChart<DrainState, DrainEvent>;
 
-const GOOD: &str = "
+const VALID: &str = "
 name: drain
 initial: serving
 states:
@@ -13,34 +13,34 @@
   drained: {terminal: true}
 ";
 
-fn fault(text: &str) -> ChartError {
-    DrainChart::parse(text).expect_err("a faulty chart")
+fn parse_error(text: &str) -> ChartError {
+    DrainChart::parse(text).expect_err("parsing an invalid chart should fail")
 }
 
 #[test]
-fn a_sound_chart_is_read() {
-    let chart = DrainChart::parse(GOOD).unwrap();
+fn a_valid_chart_parses() {
+    let chart = DrainChart::parse(VALID).unwrap();
     assert_eq!(chart.transitions().count(), 2);
     assert!(chart.is_terminal(DrainState::Drained));
 }
 
 #[test]
-fn faults_are_named() {
+fn each_invalid_chart_is_rejected_with_its_cause() {
     let cases = [
-        (GOOD.replace("ignore: [idle]", "ignore: []"), "neither handles nor ignores Idle"),
-        (GOOD.replace("ignore: [idle]", "ignore: [idle, shutdown]"), "names Shutdown twice"),
-        (GOOD.replace("idle: drained", "idle: draining"), "Drained cannot be reached"),
-        (GOOD.replace("  drained: {terminal: true}\n", ""), "Drained is missing"),
-        (GOOD.replace("idle: drained", "idle: nowhere"), "does not parse"),
+        (VALID.replace("ignore: [idle]", "ignore: []"), "neither handles nor ignores Idle"),
+        (VALID.replace("ignore: [idle]", "ignore: [idle, shutdown]"), "names Shutdown twice"),
+        (VALID.replace("idle: drained", "idle: draining"), "Drained cannot be reached"),
+        (VALID.replace("  drained: {terminal: true}\n", ""), "Drained is missing"),
+        (VALID.replace("idle: drained", "idle: nowhere"), "does not parse"),
     ];
     for (text, expected) in cases {
-        let told = fault(&text).to_string();
-        assert!(told.contains(expected), "{told}");
+        let message = parse_error(&text).to_string();
+        assert!(message.contains(expected), "{message}");
     }
 }
 
 #[test]
-fn a_state_named_twice_is_a_fault() {
-    let doubled = format!("{GOOD}  serving: {{terminal: true}}\n");
-    assert!(matches!(fault(&doubled), ChartError::Shape(_)));
+fn a_duplicate_state_is_rejected() {
+    let doubled = format!("{VALID}  serving: {{terminal: true}}\n");
+    assert!(matches!(parse_error(&doubled), ChartError::Shape(_)));
 }
