--- a/crates/ryetide-core/src/catalog.rs
+++ b/crates/ryetide-core/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The services text, checked: what operators declare about tiers, organisations and services.
+//! The services text: the tiers, organisations and services that operators declare, validated.
 //!
 //! # Example
 //!
@@ -37,8 +37,8 @@
 
 /// The most tiers a text may declare.
 pub const TIER_LIMIT: usize = 8;
-/// The largest request or answer that a plain service may be given, in bytes.
-const BODY_LIMIT: ValueRange<u64> = ValueRange { least: 1_024, greatest: 64 << 20 };
+/// The permitted range of `body-limit`, in bytes.
+const BODY_RANGE: ValueRange<u64> = ValueRange { least: 1_024, greatest: 64 << 20 };
 const WAIT_RANGE: ValueRange<Duration> =
     ValueRange { least: Duration::from_millis(10), greatest: Duration::from_secs(3_600) };
 const SLOT_RANGE: ValueRange<u64> = ValueRange { least: 1, greatest: 4_096 };
@@ -49,12 +49,12 @@
 const DEFAULT_PREFILL_RATE: u64 = 5_000;
 const DEFAULT_DECODE_RATE: u64 = 40;
 
-/// What kind of back end a service is.
+/// The kind of a service's back end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum ServiceKind {
-    /// Model engines: streamed answers that can be resumed by request id.
+    /// Model engines, whose answers are streams that can be resumed by request id.
     Model,
-    /// A plain service, routed to by path, whose bodies pass through unread.
+    /// A plain service, selected by path; its bodies are forwarded without being parsed.
     Plain,
 }
 
@@ -70,76 +70,76 @@
     }
 }
 
-/// A tier of requests; the order in the text is the order of urgency.
+/// A tier of requests. The text lists the tiers from the most to the least urgent.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct TierRule {
-    /// The tier's name, as callers give it.
+    /// The tier's name, as callers send it.
     pub name: TierName,
     /// The longest time a request of this tier may wait for a target.
     pub wait: Duration,
-    /// The part of each target's slots that this tier may fill; the rest is headroom for the
-    /// tiers before it.
+    /// The share of each target's slots that this tier may use, from 0 to 1. The rest is headroom
+    /// for more urgent tiers.
     pub fill: f64,
 }
 
-/// An organisation and its share within each tier.
+/// An organisation and its weight within each tier.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct OrganisationRule {
-    /// The organisation's name, as callers give it.
+    /// The organisation's name, as callers send it.
     pub name: OrganisationName,
-    /// Its weight against the other organisations.
+    /// Its weight relative to the other organisations.
     pub share: ShareWeight,
 }
 
-/// One replica of a service.
+/// One target, a replica of a service.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct TargetRule {
-    /// The target's name; the platform's list names its VM the same.
+    /// The target's name, which is also the name of its VM in the platform's list.
     pub name: TargetName,
-    /// The data centre it stands in.
+    /// The data centre that it runs in.
     pub data_centre: DataCentreName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: net::SocketAddr,
-    /// How many requests it works on at once.
+    /// The most requests that it runs concurrently.
     pub slots: u32,
-    /// How many tokens, prompt and generated, it holds at once.
+    /// The most tokens, of prompts and outputs, that it holds in memory at once.
     pub tokens: Tokens,
-    /// The prompt speed assumed until one is observed.
+    /// The prefill speed that is assumed until one is measured.
     pub prefill_rate: TokenRate,
-    /// The generation speed of one stream assumed until one is observed.
+    /// The decode speed of one stream that is assumed until one is measured.
     pub decode_rate: TokenRate,
-    /// Whether the operator declared these speeds. Speeds that were only assumed are no ground to
-    /// refuse a request.
+    /// Whether the operator declared both speeds. No request is refused on the basis of default
+    /// speeds.
     pub speeds_declared: bool,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether it rejects operations that carry an outdated fencing number.
     pub fencing: bool,
-    /// Whether its contract says that a refusal (status 503) ran nothing.
+    /// Whether its contract guarantees that a refused request (status 503) did not run.
     pub refusal_ran_nothing: bool,
 }
 
-/// A service and what it depends on.
+/// A service, its dependencies and its targets.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct ServiceRule {
-    /// The service's name: the `model` of a request, or the first part of a plain path.
+    /// The service's name: the `model` of a request, or the first segment of a plain path.
     pub name: ServiceName,
-    /// What kind of back end it is.
+    /// The kind of its back end.
     pub kind: ServiceKind,
-    /// The services without which this one is of no use.
+    /// The services that this one cannot work without.
     pub depends_on: Vec<ServiceKey>,
-    /// The largest request body, and for plain services the largest answer.
+    /// The size limit of a request body and, for plain services, of an answer.
     pub body_limit: ByteSize,
-    /// Its replicas.
+    /// Its targets.
     pub targets: Vec<TargetRule>,
 }
 
 impl ServiceRule {
-    /// Returns the key that stands for this service.
+    /// Returns the key of this service.
     pub fn key(&self) -> ServiceKey {
         ServiceKey::of(&self.name)
     }
 }
 
-/// A checked services text.
+/// A validated services text.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct ServiceCatalog {
     tiers: Vec<TierRule>,
@@ -148,17 +148,17 @@
 }
 
 impl ServiceCatalog {
-    /// Reads and checks a services text whole.
+    /// Parses and validates a services text.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the text, each with its place, the value found and what is
-    /// permitted.
+    /// Returns every validation error of the text, each with its position, the value found and what
+    /// is permitted.
     pub fn parse(text: &str) -> Result<Self, TextFaults> {
         text::read_text(text, read_catalog)
     }
 
-    /// Returns the tiers, the most urgent first.
+    /// Returns the tiers, most urgent first.
     pub fn tiers(&self) -> &[TierRule] {
         &self.tiers
     }
@@ -184,7 +184,7 @@
         Some((TierRank(rank as u8), &self.tiers[rank]))
     }
 
-    /// Returns the data centres in which `service` has targets.
+    /// Returns the scopes of `service`, one for each data centre in which it has targets.
     pub fn scopes_of(&self, service: ServiceKey) -> Vec<ScopeKey> {
         let Some(rule) = self.service(service) else {
             return Vec::new();
@@ -212,15 +212,15 @@
         self.services.keys().flat_map(|service| self.scopes_of(*service)).collect()
     }
 
-    /// Returns the target with `key` and the service it belongs to.
+    /// Returns the target of `service` with `key`.
     pub fn target(&self, service: ServiceKey, key: TargetKey) -> Option<&TargetRule> {
         let targets = &self.service(service)?.targets;
         targets.iter().find(|target| TargetKey::of(&target.name) == key)
     }
 
-    /// Returns the services that `service` needs, directly or through others.
+    /// Returns the direct and transitive dependencies of `service`.
     pub fn needs_of(&self, service: ServiceKey) -> Vec<ServiceKey> {
-        reach(&self.services, service)
+        dependencies(&self.services, service)
     }
 }
 
@@ -235,7 +235,7 @@
 }
 
 fn read_tiers(reader: &mut FaultReader, node: TextNode<'_>) -> Option<Vec<TierRule>> {
-    let mut names = NameRegister::default();
+    let mut names = UniqueNames::default();
     let tiers = reader.sequence(node, |reader, item| {
         reader.mapping(item, &["name", "wait", "fill"]);
         let name: Option<TierName> = reader.required(item, "name", FaultReader::name);
@@ -259,7 +259,7 @@
     reader: &mut FaultReader,
     node: TextNode<'_>,
 ) -> Option<BTreeMap<OrganisationKey, OrganisationRule>> {
-    let mut names = NameRegister::default();
+    let mut names = UniqueNames::default();
     let organisations = reader.sequence(node, |reader, item| {
         reader.mapping(item, &["name", "share"]);
         let name: Option<OrganisationName> = reader.required(item, "name", FaultReader::name);
@@ -277,8 +277,8 @@
     reader: &mut FaultReader,
     node: TextNode<'_>,
 ) -> Option<BTreeMap<ServiceKey, ServiceRule>> {
-    let mut names = NameRegister::default();
-    let mut targets = NameRegister::default();
+    let mut names = UniqueNames::default();
+    let mut targets = UniqueNames::default();
     let rules = reader.sequence(node, |reader, item| {
         let rule = read_service(reader, item, &mut targets)?;
         names.check(reader, item, rule.name.as_str(), rule.key().0);
@@ -286,47 +286,54 @@
     })?;
     let services: BTreeMap<ServiceKey, ServiceRule> =
         rules.into_iter().map(|rule| (rule.key(), rule)).collect();
-    check_needs(reader, node, &services);
+    check_dependencies(reader, node, &services);
     Some(services)
 }
 
-/// Returns the services that `start` needs, directly or through others.
-fn reach(services: &BTreeMap<ServiceKey, ServiceRule>, start: ServiceKey) -> Vec<ServiceKey> {
+/// Returns the direct and transitive dependencies of `start`.
+fn dependencies(
+    services: &BTreeMap<ServiceKey, ServiceRule>,
+    start: ServiceKey,
+) -> Vec<ServiceKey> {
     let mut found: Vec<ServiceKey> = Vec::new();
     let mut pending = vec![start];
     while let Some(key) = pending.pop() {
-        for need in services.get(&key).into_iter().flat_map(|rule| &rule.depends_on) {
-            if !found.contains(need) {
-                found.push(*need);
-                pending.push(*need);
+        for dependency in services.get(&key).into_iter().flat_map(|rule| &rule.depends_on) {
+            if !found.contains(dependency) {
+                found.push(*dependency);
+                pending.push(*dependency);
             }
         }
     }
     found
 }
 
-/// Notes dangling references and dependency cycles at the service that names them.
-fn check_needs(
+/// Records undeclared dependencies and dependency cycles at the service that lists them.
+fn check_dependencies(
     reader: &mut FaultReader,
     node: TextNode<'_>,
     services: &BTreeMap<ServiceKey, ServiceRule>,
 ) {
     reader.sequence(node, |reader, item| {
-        // What cannot be read here was noted when the services were read.
+        // Values that do not parse here were recorded when the services were read.
         let name: ServiceName = item.get("name")?.as_text()?.parse().ok()?;
-        let needs = item.get("depends-on")?;
+        let list = item.get("depends-on")?;
         reader.optional(item, "depends-on", Vec::new(), |reader, _| {
-            reader.sequence(needs, |reader, need| {
-                let need_name: ServiceName = need.as_text()?.parse().ok()?;
-                if !services.contains_key(&ServiceKey::of(&need_name)) {
-                    reader.note(need, format!("{:?}", need_name.as_str()), "a declared service");
+            reader.sequence(list, |reader, dependency| {
+                let dependency_name: ServiceName = dependency.as_text()?.parse().ok()?;
+                if !services.contains_key(&ServiceKey::of(&dependency_name)) {
+                    reader.note(
+                        dependency,
+                        format!("{:?}", dependency_name.as_str()),
+                        "a declared service",
+                    );
                 }
                 Some(())
             })
         });
-        if reach(services, ServiceKey::of(&name)).contains(&ServiceKey::of(&name)) {
+        if dependencies(services, ServiceKey::of(&name)).contains(&ServiceKey::of(&name)) {
             reader.note(
-                needs,
+                list,
                 format!("a cycle through {:?}", name.as_str()),
                 "dependencies without cycles",
             );
@@ -338,7 +345,7 @@
 fn read_service(
     reader: &mut FaultReader,
     item: TextNode<'_>,
-    targets: &mut NameRegister,
+    targets: &mut UniqueNames,
 ) -> Option<ServiceRule> {
     reader.mapping(item, &["name", "kind", "depends-on", "body-limit", "targets"]);
     let name: Option<ServiceName> = reader.required(item, "name", FaultReader::name);
@@ -349,7 +356,7 @@
             reader.sequence(value, FaultReader::name)
         });
     let body_limit = reader.optional(item, "body-limit", DEFAULT_BODY_LIMIT, |reader, value| {
-        reader.number(value, BODY_LIMIT)
+        reader.number(value, BODY_RANGE)
     });
     let rules = reader.required(item, "targets", |reader, value| {
         let rules =
@@ -371,7 +378,7 @@
 fn read_target(
     reader: &mut FaultReader,
     item: TextNode<'_>,
-    names: &mut NameRegister,
+    names: &mut UniqueNames,
 ) -> Option<TargetRule> {
     const KEYS: [&str; 9] = [
         "name",
@@ -416,20 +423,22 @@
     })
 }
 
-/// Finds names used twice, and names whose keys collide.
+/// Detects duplicate names, and names whose keys collide.
 #[derive(Default)]
-struct NameRegister {
+struct UniqueNames {
+    /// The key of each name, or 0 for names that have no key.
     seen: BTreeMap<String, u32>,
 }
 
-impl NameRegister {
+impl UniqueNames {
+    /// Records an error when `name` is a duplicate or its key collides with another name's.
     fn check(&mut self, reader: &mut FaultReader, item: TextNode<'_>, name: &str, key: u32) {
-        let place = item.get("name").unwrap_or(item);
+        let name_node = item.get("name").unwrap_or(item);
         if self.seen.contains_key(name) {
-            reader.note(place, format!("{name:?} again"), "a name used once");
+            reader.note(name_node, format!("{name:?} again"), "a name used once");
         } else if key != 0 && self.seen.values().any(|other| *other == key) {
             reader.note(
-                place,
+                name_node,
                 format!("{name:?}"),
                 "a name whose 32-bit hash no other name shares",
             );
--- a/crates/ryetide-core/src/text.rs
+++ b/crates/ryetide-core/src/text.rs
@@ -1,33 +1,34 @@
-//! Reading of operators' YAML with every fault found in one pass, each with its place.
+//! Reads operators' YAML and reports all of its validation errors at once, each with its position.
 //!
-//! A deserializer stops at the first fault. An operator wants all of them, so the readers of the
-//! settings and of the services text walk the marked YAML tree with [`FaultReader`] and keep going.
+//! A deserializer stops at the first error. So that an operator sees all of them in one run, the
+//! readers of the settings, the services text and the routes text walk the YAML tree with a
+//! [`FaultReader`], which records each error and continues.
 
 use std::{fmt, time::Duration};
 
 use saphyr::{LoadableYamlNode, MarkedYaml, Scalar, YamlData};
 
-/// The permitted values that a whole number or a span may take.
+/// The permitted range of a whole number or a duration, both ends included.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ValueRange<T> {
-    /// The least permitted value.
+    /// The smallest permitted value.
     pub least: T,
-    /// The greatest permitted value.
+    /// The largest permitted value.
     pub greatest: T,
 }
 
-/// One fault in a text: where it is, what was found and what is permitted.
+/// One validation error in a text: its position, what was found and what is permitted.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct TextFault {
     /// The line, counted from 1.
     pub line: usize,
     /// The column, counted from 1.
     pub column: usize,
-    /// The byte offset of the place in the text.
+    /// The byte offset in the text.
     pub offset: usize,
-    /// The length in bytes of the faulty piece; at least 1.
+    /// The length in bytes of the invalid value; at least 1.
     pub length: usize,
-    /// The path of keys that leads to the place, such as `services[0].targets[2].slots`.
+    /// The path of keys to the value, such as `services[0].targets[2].slots`.
     pub path: String,
     /// The value found.
     pub found: String,
@@ -45,30 +46,31 @@
     }
 }
 
-/// All the faults of a text.
+/// All validation errors of a text.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{} fault(s); the first: {}", .0.len(), .0.first().map(ToString::to_string).unwrap_or_default())]
 pub struct TextFaults(pub Vec<TextFault>);
 
-/// A node of the text together with the path that leads to it.
+/// A node of the YAML tree, with its position in the text.
 #[derive(Clone, Copy)]
 pub struct TextNode<'a> {
     node: &'a MarkedYaml<'a>,
 }
 
-/// Walks a marked YAML tree and collects faults.
+/// Reads values from a YAML tree and collects the validation errors.
 pub struct FaultReader {
+    /// The keys from the root to the node that is being read.
     path: Vec<String>,
     /// The byte offset at which each line starts.
     line_starts: Vec<usize>,
     faults: Vec<TextFault>,
 }
 
-/// Parses `text`, hands its root to `read`, and returns what was read or every fault.
+/// Parses `text`, passes its root to `read`, and returns the value or every validation error.
 ///
 /// # Errors
 ///
-/// Returns [`TextFaults`] when the text is not YAML or `read` noted any fault.
+/// Returns [`TextFaults`] when the text is not valid YAML or `read` recorded an error.
 pub fn read_text<T>(
     text: &str,
     read: impl FnOnce(&mut FaultReader, TextNode<'_>) -> Option<T>,
@@ -77,7 +79,7 @@
     let documents = match MarkedYaml::load_from_str(text) {
         Ok(documents) => documents,
         Err(error) => {
-            reader.note_at(
+            reader.record_error_at(
                 error.marker().line(),
                 error.marker().col(),
                 1,
@@ -88,7 +90,7 @@
         }
     };
     let Some(root) = documents.first() else {
-        reader.note_at(1, 0, 1, "nothing".to_owned(), "one YAML mapping".to_owned());
+        reader.record_error_at(1, 0, 1, "nothing".to_owned(), "one YAML mapping".to_owned());
         return Err(TextFaults(reader.faults));
     };
     let value = read(&mut reader, TextNode { node: root });
@@ -103,16 +105,16 @@
 
 impl FaultReader {
     fn new(text: &str) -> Self {
-        let starts = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
-        let line_starts = std::iter::once(0).chain(starts.map(|(at, _)| at + 1)).collect();
+        let newlines = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
+        let line_starts = std::iter::once(0).chain(newlines.map(|(at, _)| at + 1)).collect();
         Self { path: Vec::new(), line_starts, faults: Vec::new() }
     }
 
-    /// Notes a fault at `node`.
+    /// Records a validation error at `node`.
     pub fn note(&mut self, node: TextNode<'_>, found: impl Into<String>, permitted: &str) {
         let span = node.node.span;
         let length = if span.end.line() == span.start.line() { span.len().max(1) } else { 1 };
-        self.note_at(
+        self.record_error_at(
             span.start.line(),
             span.start.col(),
             length,
@@ -121,7 +123,7 @@
         );
     }
 
-    fn note_at(
+    fn record_error_at(
         &mut self,
         line: usize,
         column: usize,
@@ -142,7 +144,7 @@
         });
     }
 
-    /// Runs `read` with `key` added to the path.
+    /// Runs `read` with `key` appended to the path of the errors it records.
     fn within<T>(&mut self, key: &str, read: impl FnOnce(&mut Self) -> T) -> T {
         self.path.push(key.to_owned());
         let value = read(self);
@@ -150,7 +152,7 @@
         value
     }
 
-    /// Checks that `node` is a mapping whose keys are all in `known`.
+    /// Returns whether `node` is a mapping; records an error for each key that is not in `known`.
     pub fn mapping(&mut self, node: TextNode<'_>, known: &[&str]) -> bool {
         let YamlData::Mapping(entries) = &node.node.data else {
             self.note(node, node.describe(), "a mapping");
@@ -167,7 +169,7 @@
         true
     }
 
-    /// Reads the value of `key`, or notes that it is missing.
+    /// Reads the value of `key`, or records an error when the key is missing.
     pub fn required<T>(
         &mut self,
         node: TextNode<'_>,
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Reads every item of a sequence; items that cannot be read are left out and noted.
+    /// Reads every item of a sequence; omits the items for which `read` returns `None`.
     pub fn sequence<T>(
         &mut self,
         node: TextNode<'_>,
@@ -209,16 +211,16 @@
             self.note(node, node.describe(), "a sequence");
             return None;
         };
-        let own = self.path.last().cloned().unwrap_or_default();
+        let key = self.path.last().cloned().unwrap_or_default();
         let mut values = Vec::with_capacity(items.len());
         for (index, item) in items.iter().enumerate() {
             if let Some(last) = self.path.last_mut() {
-                *last = format!("{own}[{index}]");
+                *last = format!("{key}[{index}]");
             }
             values.extend(read(self, TextNode { node: item }));
         }
         if let Some(last) = self.path.last_mut() {
-            *last = own;
+            *last = key;
         }
         Some(values)
     }
@@ -232,7 +234,7 @@
         text
     }
 
-    /// Reads a scalar with its `FromStr`; `permitted` describes what that takes.
+    /// Parses a scalar with `FromStr`; `permitted` describes the valid values in the error.
     pub fn parsed<T: std::str::FromStr>(
         &mut self,
         node: TextNode<'_>,
@@ -251,7 +253,7 @@
         self.parsed(node, "a name: 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'")
     }
 
-    /// Reads a whole number within `range`.
+    /// Reads a whole number in `range`.
     pub fn number(&mut self, node: TextNode<'_>, range: ValueRange<u64>) -> Option<u64> {
         let permitted = format!("a whole number from {} to {}", range.least, range.greatest);
         let value: u64 = self.parsed(node, &permitted)?;
@@ -273,7 +275,7 @@
         Some(value)
     }
 
-    /// Reads a span of time such as `250ms` or `2s`, within `range`.
+    /// Reads a duration in `range`, such as `250ms` or `2s`.
     pub fn span(&mut self, node: TextNode<'_>, range: ValueRange<Duration>) -> Option<Duration> {
         let permitted = format!(
             "a time from {} to {}, such as 250ms or 2s",
@@ -282,7 +284,7 @@
         );
         let text = self.text(node)?;
         match humantime::parse_duration(&text) {
-            Ok(span) if span >= range.least && span <= range.greatest => Some(span),
+            Ok(duration) if duration >= range.least && duration <= range.greatest => Some(duration),
             _ => {
                 self.note(node, format!("{text:?}"), &permitted);
                 None
@@ -297,7 +299,7 @@
 }
 
 impl<'a> TextNode<'a> {
-    /// Returns the value of `key` when this is a mapping that has it.
+    /// Returns the value of `key`, or `None` when this is not a mapping or lacks the key.
     pub fn get(self, key: &str) -> Option<TextNode<'a>> {
         let YamlData::Mapping(entries) = &self.node.data else {
             return None;
@@ -308,12 +310,12 @@
         found.map(|(_, node)| TextNode { node })
     }
 
-    /// Returns the number of items when this is a sequence.
+    /// Returns the number of items of a sequence; 0 for any other node.
     pub fn length(self) -> usize {
         if let YamlData::Sequence(items) = &self.node.data { items.len() } else { 0 }
     }
 
-    /// Returns the scalar as text, or nothing when this is no scalar.
+    /// Returns a scalar as text, or `None` when this is null or not a scalar.
     pub fn as_text(self) -> Option<String> {
         match &self.node.data {
             YamlData::Value(Scalar::String(text)) => Some(text.to_string()),
