--- a/crates/ryetide-core/src/chart.rs
+++ b/crates/ryetide-core/src/chart.rs
@@ -484,7 +484,7 @@
             static CHART: sync::LazyLock<StateChart<$state, $event>> =
                 sync::LazyLock::new(|| match StateChart::parse(include_str!($file)) {
                     Ok(chart) => chart,
-                    Err(error) => panic!("embedded {}: {error}", $file),
+                    Err(error) => panic!("embedded chart {} is invalid: {error}", $file),
                 });
             &CHART
         }
--- a/crates/ryetide-core/src/route.rs
+++ b/crates/ryetide-core/src/route.rs
@@ -145,7 +145,7 @@
     pub header: ByteSize,
     /// The largest permitted body of a request.
     pub body: ByteSize,
-    /// The longest time in which a head must be received.
+    /// The time within which the whole head of a request must be received.
     pub header_timeout: Duration,
     /// The longest time that a keep-alive connection may be idle.
     pub idle_timeout: Duration,
@@ -269,8 +269,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`RouteFault`] when no route matches, or when the route requires a key and `key` is
-    /// missing or invalid.
+    /// Returns a [`RouteFault`] when no route matches, or when the route requires a key and `key`
+    /// is missing or invalid.
     pub fn find(
         &self,
         host: &str,
--- a/crates/ryetide-core/src/text.rs
+++ b/crates/ryetide-core/src/text.rs
@@ -63,7 +63,7 @@
     path: Vec<String>,
     /// The byte offset at which each line starts.
     line_starts: Vec<usize>,
-    faults: Vec<TextFault>,
+    errors: Vec<TextFault>,
 }
 
 /// Parses `text`, passes its root to `read`, and returns the value or every validation error.
@@ -86,19 +86,19 @@
                 error.info().to_owned(),
                 "well-formed YAML without duplicate keys".to_owned(),
             );
-            return Err(TextFaults(reader.faults));
+            return Err(TextFaults(reader.errors));
         }
     };
     let Some(root) = documents.first() else {
         reader.record_error_at(1, 0, 1, "nothing".to_owned(), "one YAML mapping".to_owned());
-        return Err(TextFaults(reader.faults));
+        return Err(TextFaults(reader.errors));
     };
     let value = read(&mut reader, TextNode { node: root });
     match value {
-        Some(value) if reader.faults.is_empty() => Ok(value),
+        Some(value) if reader.errors.is_empty() => Ok(value),
         _ => {
-            reader.faults.sort_by_key(|fault| (fault.line, fault.column));
-            Err(TextFaults(reader.faults))
+            reader.errors.sort_by_key(|error| (error.line, error.column));
+            Err(TextFaults(reader.errors))
         }
     }
 }
@@ -107,7 +107,7 @@
     fn new(text: &str) -> Self {
         let newlines = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
         let line_starts = std::iter::once(0).chain(newlines.map(|(at, _)| at + 1)).collect();
-        Self { path: Vec::new(), line_starts, faults: Vec::new() }
+        Self { path: Vec::new(), line_starts, errors: Vec::new() }
     }
 
     /// Records a validation error at `node`.
@@ -133,7 +133,7 @@
     ) {
         let start = self.line_starts.get(line.saturating_sub(1)).copied().unwrap_or(0);
         let path = if self.path.is_empty() { "text".to_owned() } else { self.path.join(".") };
-        self.faults.push(TextFault {
+        self.errors.push(TextFault {
             line: line.max(1),
             column: column + 1,
             offset: start + column,
