--- a/crates/ryetide-gateway/tests/table_follower/eras.rs
+++ b/crates/ryetide-gateway/tests/table_follower/eras.rs
@@ -1,4 +1,4 @@
-//! VMs before a store that comes back from a copy of itself.
+//! VMs that follow a store which is restored from a copy.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,69 +12,69 @@
 
 const BOUNDS: FeedBounds =
     FeedBounds { leaving: Duration::from_secs(2), silence: Duration::from_secs(3) };
-/// For how long the store is away before it comes back.
-const AWAY: Duration = Duration::from_millis(1_500);
-/// Changes that the copy lacks.
-const WRITTEN_SINCE: u64 = 20;
+/// How long the store is unavailable before it is restored.
+const OUTAGE: Duration = Duration::from_millis(1_500);
+/// The number of changes that the copy lacks.
+const CHANGES_AFTER_COPY: u64 = 20;
 
-/// Two VMs, of which the second watches or rests on the first.
+/// Two VMs, of which the first watches the store and the second watches too or is passive.
 struct Pair {
     store: Rc<ModelStore>,
-    mate: Rc<ModelVm>,
+    peer: Rc<ModelVm>,
     vm: Rc<ModelVm>,
 }
 
 impl Pair {
-    async fn start(rests: bool) -> Self {
+    async fn start(passive: bool) -> Self {
         let store = Rc::new(ModelStore::default());
         for target in ["a", "b"] {
             store.register(target);
         }
-        let (mate, changes) = ModelVm::start(&store, "e1", BOUNDS);
+        let (peer, changes) = ModelVm::start(&store, "e1", BOUNDS);
         let (vm, _changes) = ModelVm::start(&store, "e2", BOUNDS);
-        task::spawn_local(model_store::pass_on(Rc::clone(&mate), changes, Rc::clone(&vm)));
-        vm.relay.set_duty(!rests);
+        task::spawn_local(model_store::pass_on(Rc::clone(&peer), changes, Rc::clone(&vm)));
+        vm.relay.set_duty(!passive);
         time::sleep(Duration::from_secs(5)).await;
-        assert!(mate.uses("a") && vm.uses("a"), "both know the targets");
-        Self { store, mate, vm }
+        assert!(peer.uses("a") && vm.uses("a"), "both know the targets");
+        Self { store, peer, vm }
     }
 
     fn vms(&self) -> [(&str, &Rc<ModelVm>); 2] {
-        [("the mate", &self.mate), ("the VM", &self.vm)]
+        [("the peer", &self.peer), ("the VM", &self.vm)]
     }
 
-    /// Lets the store go away and come back from `copy`.
+    /// Makes the store unavailable, and restores it from `copy`.
     async fn restore(&self, copy: &model_store::StoreCopy, kind: CutKind) {
         self.vms().iter().for_each(|(_, vm)| vm.path.cut(kind));
-        time::sleep(AWAY).await;
+        time::sleep(OUTAGE).await;
         self.store.restore(copy);
         self.vms().iter().for_each(|(_, vm)| vm.path.mend());
     }
 }
 
-/// Guards against VMs that pass over what a restored store says, because they had seen higher versions, or wait for
-/// changes since a version that it gives out again.
+/// Guards against VMs that ignore a restored store's data because they have seen higher versions,
+/// or that wait for changes after a version which the store assigns a second time.
 #[tokio::test(start_paused = true)]
-async fn a_target_that_goes_after_the_store_was_restored_gets_no_new_work_for_long() {
-    for rests in [false, true] {
+async fn a_target_that_goes_after_a_restore_gets_no_new_work_beyond_the_bounds() {
+    for passive in [false, true] {
         for kind in [CutKind::Refused, CutKind::Silent] {
             for ends in (0..6_000).step_by(200).map(Duration::from_millis) {
                 let case = async {
-                    let pair = Pair::start(rests).await;
+                    let pair = Pair::start(passive).await;
                     let copy = pair.store.copy();
-                    (0..WRITTEN_SINCE).for_each(|_| pair.store.register("b"));
+                    (0..CHANGES_AFTER_COPY).for_each(|_| pair.store.register("b"));
                     time::sleep(Duration::from_secs(2)).await;
                     pair.restore(&copy, kind).await;
-                    let restored = Instant::now();
+                    let restored_at = Instant::now();
                     time::sleep(ends).await;
                     pair.store.drop_target("a");
                     let permitted =
-                        (Instant::now() + BOUNDS.leaving).max(restored + BOUNDS.silence);
+                        (Instant::now() + BOUNDS.leaving).max(restored_at + BOUNDS.silence);
                     time::sleep_until(permitted + Duration::from_secs(2)).await;
                     for (who, vm) in pair.vms() {
                         let used = vm.last_used("a").saturating_duration_since(permitted);
-                        assert!(used.is_zero(), "{who}, {kind:?}, {rests}, {ends:?}: {used:?}");
-                        assert!(vm.uses("b"), "{who} knows the target that lives");
+                        assert!(used.is_zero(), "{who}, {kind:?}, {passive}, {ends:?}: {used:?}");
+                        assert!(vm.uses("b"), "{who} uses the live target");
                     }
                 };
                 LocalSet::new().run_until(case).await;
@@ -83,10 +83,10 @@
     }
 }
 
-/// Guards against targets that lose their callers because the copy is older than their entries: they write them again
-/// within two seconds.
+/// Guards against live targets that get no work because the copy is older than their entries. They
+/// write them again within two seconds.
 #[tokio::test(start_paused = true)]
-async fn targets_that_the_copy_lacks_get_work_all_along() {
+async fn targets_that_the_copy_lacks_keep_getting_work() {
     for returns in (0..1_400).step_by(200).map(Duration::from_millis) {
         let case = async {
             let pair = Pair::start(true).await;
--- a/crates/ryetide-gateway/tests/table_follower/leaving.rs
+++ b/crates/ryetide-gateway/tests/table_follower/leaving.rs
@@ -1,4 +1,4 @@
-//! For how long a target gets work whose entry has ended.
+//! How long a target gets work after its entry was deleted.
 
 use std::{fmt, rc::Rc, time::Duration};
 
@@ -10,76 +10,79 @@
 
 use crate::model_store::{self, CutKind, ModelStore, ModelVm};
 
-/// How long the VM is cut off.
+/// How long the VM is cut off from the store.
 const CUT: Duration = Duration::from_secs(3);
-/// How soon a VM that is reached again hears that its mates watch, and rests on them.
-const REJOIN: Duration = Duration::from_millis(400);
-/// The time between the entries' ends that are tried.
+/// How soon a VM that is reachable again learns that peers watch the store, and becomes passive.
+const REJOIN_DELAY: Duration = Duration::from_millis(400);
+/// The step between the times at which the entry is deleted.
 const STEP: Duration = Duration::from_millis(100);
 
-/// What a VM does once its cut is over.
+/// What a VM does after the cut.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum AfterCut {
     /// It watches the store itself.
     Watches,
-    /// It rests on its mates.
-    Rests,
-    /// It rests on its mates, and the changes that they pass on are lost.
-    RestsUntold,
+    /// It is passive and receives the changes that its peer relays.
+    Passive,
+    /// It is passive, and the changes that its peer relays are lost.
+    PassiveWithLoss,
 }
 
-/// One target's end, before, during or after a cut.
+/// A target whose entry is deleted during or after a cut.
 #[derive(Clone, Copy, Debug)]
 struct LeavingCase {
     bounds: FeedBounds,
     cut: CutKind,
     after: AfterCut,
-    /// From the beginning of the cut until the target's entry ends.
-    ends: Duration,
+    /// The time from the start of the cut until the target's entry is deleted.
+    deleted_after: Duration,
 }
 
 impl fmt::Display for LeavingCase {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { bounds, cut, after, ends } = self;
+        let Self { bounds, cut, after, deleted_after } = self;
         let leaving = bounds.leaving;
-        write!(formatter, "{cut:?} cut, {after:?}, {leaving:?} permitted, ended at {ends:?}")
+        write!(
+            formatter,
+            "{cut:?} cut, {after:?}, {leaving:?} permitted, deleted after {deleted_after:?}"
+        )
     }
 }
 
 impl LeavingCase {
-    /// Plays the case, and returns for how long the target got work beyond what is permitted: from when it must
-    /// not, `leaving` after its entry's end, and from when the cut excuses nothing any more.
+    /// Runs the case, and returns how long the target got work beyond the later of two bounds:
+    /// `leaving` after its entry was deleted, and `silence` after the end of the cut.
     async fn overrun(self) -> Duration {
-        LocalSet::new().run_until(self.play()).await
+        LocalSet::new().run_until(self.run()).await
     }
 
-    async fn play(self) -> Duration {
+    async fn run(self) -> Duration {
         let store = Rc::new(ModelStore::default());
         for target in ["a", "b", "c"] {
             store.register(target);
         }
-        let (mate, changes) = ModelVm::start(&store, "e1", self.bounds);
+        let (peer, changes) = ModelVm::start(&store, "e1", self.bounds);
         let (vm, _changes) = ModelVm::start(&store, "e2", self.bounds);
-        task::spawn_local(model_store::pass_on(Rc::clone(&mate), changes, Rc::clone(&vm)));
+        task::spawn_local(model_store::pass_on(Rc::clone(&peer), changes, Rc::clone(&vm)));
         vm.relay.set_duty(self.after == AfterCut::Watches);
         time::sleep(Duration::from_secs(5)).await;
-        assert!(mate.uses("a") && vm.uses("a"), "both know the targets");
+        assert!(peer.uses("a") && vm.uses("a"), "both know the targets");
 
-        vm.loses_changes.set(self.after == AfterCut::RestsUntold);
+        vm.loses_changes.set(self.after == AfterCut::PassiveWithLoss);
         let begun = Instant::now();
         let ended = begun + CUT;
-        // One that hears no mate must watch.
+        // A VM that receives nothing from its peer must watch.
         vm.path.cut(self.cut);
         vm.relay.set_duty(true);
         let back = async {
             time::sleep_until(ended).await;
             vm.path.mend();
-            time::sleep(REJOIN).await;
+            time::sleep(REJOIN_DELAY).await;
             vm.relay.set_duty(self.after == AfterCut::Watches);
         };
         let end = async {
-            time::sleep_until(begun + self.ends).await;
-            // The change before makes the VMs that watch pause.
+            time::sleep_until(begun + self.deleted_after).await;
+            // This earlier change makes the watching VMs pause.
             store.register("d");
             time::sleep(Duration::from_millis(20)).await;
             store.drop_target("a");
@@ -88,7 +91,7 @@
         let ((), gone) = tokio::join!(back, end);
         let permitted = (gone + self.bounds.leaving).max(ended + self.bounds.silence);
         time::sleep_until(permitted + Duration::from_secs(3)).await;
-        assert!(vm.uses("b") && vm.uses("d"), "those that live get work");
+        assert!(vm.uses("b") && vm.uses("d"), "the live targets get work");
         vm.last_used("a").saturating_duration_since(permitted)
     }
 }
@@ -97,14 +100,14 @@
     FeedBounds { leaving: Duration::from_secs(leaving), silence: Duration::from_secs(silence) }
 }
 
-/// Plays an end of the target's entry at each step from the beginning of the cut until seconds after it, for each kind
-/// of cut and each pair of bounds that deployments have.
+/// Returns the longest overrun and its case. Deletes the entry at each step from the start of the
+/// cut until seconds after it, for each kind of cut and each pair of bounds that deployments use.
 async fn worst(after: AfterCut) -> (Duration, LeavingCase) {
     let mut worst = None;
     for bounds in [bounds(2, 3), bounds(3, 4), bounds(4, 5)] {
         for cut in [CutKind::Refused, CutKind::Silent] {
             for step in 0..80 {
-                let case = LeavingCase { bounds, cut, after, ends: STEP * step };
+                let case = LeavingCase { bounds, cut, after, deleted_after: STEP * step };
                 let overrun = case.overrun().await;
                 if worst.is_none_or(|(most, _)| overrun > most) {
                     worst = Some((overrun, case));
@@ -115,70 +118,72 @@
     worst.expect("some cases")
 }
 
-/// A caller's request is sent to a target that has left, 3.06 s after its entry's end; 3 s are permitted. A VM was
-/// cut off, and is back. A target leaves without a word just after the VMs that watch have begun a pause of 1.5 s.
-/// They hear of it at its end and pass it on; the VM, which had lost the store, doubts that the target is gone, and
-/// keeps it for 1.6 s more. Either time is sound alone. What proved it: all VMs that had been cut off, and no
-/// others, dropped the same targets without any news, 1.75 s after all had heard of their end.
+/// Guards against a pause and a grace period that add up. The entry of a target is deleted, without
+/// notice, just after the watching VMs start a pause of 1.5 s. They read and relay the change at
+/// the end of the pause. A VM that had lost the store then keeps the target for a grace period of
+/// 1.6 s more, and sends it a request 3.06 s after the deletion, where 3 s are permitted. Each of
+/// the two times is within the bounds alone.
 #[tokio::test(start_paused = true)]
-async fn a_target_that_goes_after_a_cut_gets_no_new_work_for_long() {
-    let (overrun, case) = worst(AfterCut::Rests).await;
+async fn a_target_that_goes_after_a_cut_gets_no_new_work_beyond_the_bounds() {
+    let (overrun, case) = worst(AfterCut::Passive).await;
     assert!(overrun.is_zero(), "{case}: {overrun:?} too long");
 }
 
-/// The same on a VM that watches the store itself, and so hears without a mate's pause.
+/// The same on a VM that watches the store itself, and so gets changes without a peer's pause.
 #[tokio::test(start_paused = true)]
-async fn a_vm_that_watches_gives_no_new_work_for_long_either() {
+async fn a_watching_vm_gives_no_new_work_beyond_the_bounds() {
     let (overrun, case) = worst(AfterCut::Watches).await;
     assert!(overrun.is_zero(), "{case}: {overrun:?} too long");
 }
 
-/// The same where the datagrams with the changes are lost: the VM sees from its mate's next digest that it lacks one,
-/// and asks the store. That takes some tenths of a second more, and must not add up with a doubt either.
+/// The same where the datagrams with the changes are lost: the VM sees from its peer's next digest
+/// that it lacks a change, and queries the store. That takes some tenths of a second more, and must
+/// not add to the grace period.
 #[tokio::test(start_paused = true)]
-async fn a_lost_datagram_and_a_doubt_do_not_add_up() {
-    let (overrun, case) = worst(AfterCut::RestsUntold).await;
+async fn a_lost_datagram_and_a_grace_period_do_not_add_up() {
+    let (overrun, case) = worst(AfterCut::PassiveWithLoss).await;
     assert!(overrun.is_zero(), "{case}: {overrun:?} too long");
 }
 
-/// Has a VM rest as soon as it has heard that its mate watches.
-async fn rest_when_watched(mate: Rc<ModelVm>, vm: Rc<ModelVm>) {
-    while mate.relay.watch_note().is_none() {
+/// Makes a VM passive as soon as it knows that its peer watches the store.
+async fn become_passive_when_watched(peer: Rc<ModelVm>, vm: Rc<ModelVm>) {
+    while peer.relay.watch_note().is_none() {
         time::sleep(Duration::from_millis(10)).await;
     }
-    time::sleep(REJOIN).await;
+    time::sleep(REJOIN_DELAY).await;
     vm.relay.set_duty(false);
 }
 
-/// The store is away for four seconds, and all entries lapse though every target lives. It comes back, tells that they
-/// are gone, and the targets write themselves in again within 1.4 s. No VM takes any of them from its callers: not
-/// one that has lost the store itself, and not one that rested all along and hears of it all from a mate that had.
+/// Guards against live targets that get no work after an outage of the store. It is unavailable for
+/// four seconds, in which all entries expire. Then it reports them as deleted, and the targets
+/// write them again within 1.4 s. Neither a VM that has lost the store nor one that was passive
+/// throughout, and gets all changes from a peer that had lost it, may stop using a target.
 #[tokio::test(start_paused = true)]
-async fn targets_that_lapsed_with_the_store_get_work_all_along() {
+async fn targets_that_expired_during_an_outage_keep_getting_work() {
     for returns in (100..1_400).step_by(100).map(Duration::from_millis) {
         for noticed in [true, false] {
             let outage = async {
                 let store = Rc::new(ModelStore::default());
                 store.register("a");
-                let (mate, changes) = ModelVm::start(&store, "e1", bounds(3, 4));
+                let (peer, changes) = ModelVm::start(&store, "e1", bounds(3, 4));
                 let (vm, _changes) = ModelVm::start(&store, "e2", bounds(3, 4));
-                task::spawn_local(model_store::pass_on(Rc::clone(&mate), changes, Rc::clone(&vm)));
+                task::spawn_local(model_store::pass_on(Rc::clone(&peer), changes, Rc::clone(&vm)));
                 vm.relay.set_duty(noticed);
                 time::sleep(Duration::from_secs(5)).await;
-                mate.path.cut(CutKind::Refused);
+                peer.path.cut(CutKind::Refused);
                 if noticed {
                     vm.path.cut(CutKind::Refused);
                 }
                 time::sleep(Duration::from_secs(3)).await;
                 store.drop_target("a");
                 time::sleep(Duration::from_secs(1)).await;
-                mate.path.mend();
+                peer.path.mend();
                 vm.path.mend();
-                task::spawn_local(rest_when_watched(Rc::clone(&mate), Rc::clone(&vm)));
+                task::spawn_local(become_passive_when_watched(Rc::clone(&peer), Rc::clone(&vm)));
                 time::sleep(returns).await;
                 store.register("a");
                 time::sleep(Duration::from_secs(4)).await;
-                for (vm, who) in [(&mate, "the mate"), (&vm, "the VM")] {
+                for (vm, who) in [(&peer, "the peer"), (&vm, "the VM")] {
                     assert!(vm.uses("a") && !vm.has_stopped("a"), "{who}, {returns:?}, {noticed}");
                 }
             };
--- a/crates/ryetide-gateway/tests/table_follower/main.rs
+++ b/crates/ryetide-gateway/tests/table_follower/main.rs
@@ -36,8 +36,8 @@
     assert_eq!(calls[2..5], [Call::ReadAll, Call::ReadAll, Call::ReadAll]);
 }
 
-/// The store is away for several calls. That is told once, and so is its return; until it is back it
-/// is asked for short waits only, since it may fall silent again.
+/// The store is away for several calls. That is told once, and so is its return; until it is back
+/// it is asked for short waits only, since it may fall silent again.
 #[tokio::test(start_paused = true)]
 async fn the_loss_and_the_return_are_told_once_each() {
     let script = Script::new([
@@ -56,9 +56,9 @@
     assert_eq!(waits, [long.clone(), short.clone(), short.clone(), short, long]);
 }
 
-/// The store was lost and is back. For some seconds an entry that is missing may be of a target that lives,
-/// and is kept for a while; so what is missing must be known soon, or one that has truly left gets new work
-/// for too long. Later the changes are told together again.
+/// The store was lost and is back. For some seconds an entry that is missing may be of a target
+/// that lives, and is kept for a while; so what is missing must be known soon, or one that has
+/// truly left gets new work for too long. Later the changes are told together again.
 #[tokio::test(start_paused = true)]
 async fn changes_are_told_sooner_after_the_store_was_lost() {
     let changes = |versions: std::ops::Range<u64>| {
@@ -93,8 +93,8 @@
     assert_eq!(script.calls()[2], Call::Follow(7, PACE.wait));
 }
 
-/// A VM that restarts meets the row of its last life, and then its own, written by a call whose answer
-/// was lost: both end the trying as they should.
+/// A VM that restarts meets the row of its last life, and then its own, written by a call whose
+/// answer was lost: both end the trying as they should.
 #[tokio::test(start_paused = true)]
 async fn a_row_of_an_earlier_life_is_written_over() {
     let old = TableRow { value: RowValue::Present(Bytes::from_static(b"old")), ..row("e1", 5) };
@@ -108,7 +108,8 @@
 }
 
 /// A store that tells of conflicts without the row gives nothing new to try with. It is asked again
-/// after pauses: without them one VM would put hundreds of calls a second to it, for all others too.
+/// after pauses: without them one VM would put hundreds of calls a second to it, for all others
+/// too.
 #[tokio::test(start_paused = true)]
 async fn a_conflict_that_tells_nothing_is_not_answered_at_once() {
     let conflicts = (0..10).map(|_| Answer::Fault(TableFault::Conflict(None)));
@@ -119,8 +120,9 @@
     assert!(begun.elapsed() > Duration::from_secs(2), "{:?}", begun.elapsed());
 }
 
-/// In a small fleet a VM relies on itself to find out that its call has gone silent. In a large one each
-/// asks less often, at moments of its own: the calls are paid for, and one that finds out tells the others.
+/// In a small fleet a VM relies on itself to find out that its call has gone silent. In a large one
+/// each asks less often, at moments of its own: the calls are paid for, and one that finds out
+/// tells the others.
 #[test]
 fn waits_grow_with_the_fleet_and_are_spread() {
     let mut rng = SmallRng::seed_from_u64(1);
--- a/crates/ryetide-gateway/tests/table_follower/model_store.rs
+++ b/crates/ryetide-gateway/tests/table_follower/model_store.rs
@@ -1,8 +1,8 @@
 //! A store and the entry VMs that follow it, in one process and on a paused clock.
 //!
-//! The store tells the last state of each row that has changed, at once, to every VM that reaches it. Each VM runs
-//! the feed of the product, keeps the registry of the product, and looks at it as the gateway does: at news, and
-//! with each sweep.
+//! The store tells the last state of each row that has changed, at once, to every VM that reaches
+//! it. Each VM runs the feed of the product, keeps the registry of the product, and looks at it as
+//! the gateway does: at news, and with each sweep.
 
 use std::{
     cell::{Cell, RefCell},
@@ -44,7 +44,8 @@
 /// How soon a store that turns a call away says so.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
 
-/// Rows by their tables and keys, each with the version of its last change; nothing for one that was dropped.
+/// Rows by their tables and keys, each with the version of its last change; nothing for one that
+/// was dropped.
 type Rows = BTreeMap<(String, String), (u64, Option<Bytes>)>;
 
 /// The store.
@@ -306,8 +307,8 @@
 }
 
 impl ModelVm {
-    /// Starts a VM that watches the store until it is told to rest, and returns the end from which its changes are
-    /// passed on too.
+    /// Starts a VM that watches the store until it is told to rest, and returns the end from which
+    /// its changes are passed on too.
     pub fn start(
         store: &Rc<ModelStore>,
         name: &str,
@@ -381,7 +382,8 @@
         Moment(u64::try_from(self.started.elapsed().as_micros()).expect("a short test") + 1)
     }
 
-    /// Returns whether a peer has news of targets that have not come here, as its digests would show.
+    /// Returns whether a peer has news of targets that have not come here, as its digests would
+    /// show.
     pub fn is_behind(&self, peer: &Self) -> bool {
         peer.fleet.registry().borrow().newest() > self.fleet.registry().borrow().reached()
     }
@@ -404,8 +406,8 @@
     }
 }
 
-/// Passes on what `from` hears to a VM that rests on it, and how far its watch has come. What is sent while that
-/// VM is cut off is lost.
+/// Passes on what `from` hears to a VM that rests on it, and how far its watch has come. What is
+/// sent while that VM is cut off is lost.
 pub async fn pass_on(
     from: Rc<ModelVm>,
     mut changes: mpsc::Receiver<RelayedChange>,
--- a/crates/ryetide-gateway/tests/table_follower/nudges.rs
+++ b/crates/ryetide-gateway/tests/table_follower/nudges.rs
@@ -34,9 +34,10 @@
     looks.collect()
 }
 
-/// All calls to the store have gone silent at one moment. The first VM that finds out has the new routes; the others
-/// learn so from its digests, and ask anew while their own calls still hang. Targets are waited for as long as those
-/// that watch may pause, and then as long again: 1 s where a leaving target may get work for two, 2 s where for four.
+/// All calls to the store have gone silent at one moment. The first VM that finds out has the new
+/// routes; the others learn so from its digests, and ask anew while their own calls still hang.
+/// Targets are waited for as long as those that watch may pause, and then as long again: 1 s where
+/// a leaving target may get work for two, 2 s where for four.
 #[test]
 fn routes_at_a_peer_are_asked_for_sooner_than_targets() {
     let looks = |bounds, behind| -> Vec<u32> {
@@ -51,7 +52,8 @@
     assert!(due(pauses(bounds(2, 3)), FeedLag::default()).is_empty());
 }
 
-/// Only the table that lags is asked for: three calls for one that was late are paid for by a whole fleet.
+/// Only the table that lags is asked for: three calls for one that was late are paid for by a whole
+/// fleet.
 #[test]
 fn a_table_that_does_not_lag_is_not_asked_for() {
     let behind = FeedLag { routes: false, targets: true };
@@ -59,10 +61,11 @@
     assert!(tables.into_iter().all(|table| table == FleetTable::Targets));
 }
 
-/// A service is replaced: targets come every 100 ms for 20 s. Two VMs of different cells watch the store, and pause
-/// for 2 s after each reading, one 1.9 s after the other. A VM that rests on the second sees at every look that the
-/// first has news which it lacks, and each time gets them when its own mate's pause is over. It asks the store for
-/// nothing. Taken for behind after 1.6 s, whatever the pause, and asked for all tables, it made 27 calls in these 20 s.
+/// A service is replaced: targets come every 100 ms for 20 s. Two VMs of different cells watch the
+/// store, and pause for 2 s after each reading, one 1.9 s after the other. A VM that rests on the
+/// second sees at every look that the first has news which it lacks, and each time gets them when
+/// its own mate's pause is over. It asks the store for nothing. Taken for behind after 1.6 s,
+/// whatever the pause, and asked for all tables, it made 27 calls in these 20 s.
 #[tokio::test(start_paused = true)]
 async fn a_pause_at_another_cell_is_no_fault() {
     LocalSet::new()
--- a/crates/ryetide-gateway/tests/table_follower/rests.rs
+++ b/crates/ryetide-gateway/tests/table_follower/rests.rs
@@ -71,15 +71,16 @@
     time::sleep(Duration::from_millis(millis)).await;
 }
 
-/// Targets change for a minute. A VM that rests knows of each change when a peer passes it on, and has asked
-/// the store once, when it started; doubled and late changes are told once.
+/// Targets change for a minute. A VM that rests knows of each change when a peer passes it on, and
+/// has asked the store once, when it started; doubled and late changes are told once.
 #[tokio::test(start_paused = true)]
 async fn a_vm_that_rests_asks_nothing() {
     local(async {
         let mut vm = Vm::start(false, [Answer::Rows(10, vec![row("a", 8), row("b", 10)])]);
         pass(1_000).await;
         assert_eq!(vm.told(), ["2 rows"]);
-        // Between two changes the store's versions rise for other reasons, which the peers' digests tell.
+        // Between two changes the store's versions rise for other reasons, which the peers' digests
+        // tell.
         for version in (20..620).step_by(10) {
             vm.relay.hear(change(version - 10, &[row("a", version)]));
             vm.relay.hear(change(version - 10, &[row("a", version)]));
@@ -92,8 +93,9 @@
     .await;
 }
 
-/// The datagram with a change is lost. The next digest of the peer shows that there was one, and the VM asks
-/// the store from where it stands within half a second: a target that leaves must get nothing new after two.
+/// The datagram with a change is lost. The next digest of the peer shows that there was one, and
+/// the VM asks the store from where it stands within half a second: a target that leaves must get
+/// nothing new after two.
 #[tokio::test(start_paused = true)]
 async fn a_change_that_was_not_passed_on_is_asked_for() {
     local(async {
@@ -111,8 +113,8 @@
     .await;
 }
 
-/// One of two changes is lost, and the second comes. Taken alone it would hide the first for good; so the
-/// store is asked at once.
+/// One of two changes is lost, and the second comes. Taken alone it would hide the first for good;
+/// so the store is asked at once.
 #[tokio::test(start_paused = true)]
 async fn a_change_after_one_that_was_missed_is_not_taken_alone() {
     local(async {
@@ -127,8 +129,8 @@
     .await;
 }
 
-/// The VMs that watch have died. The VM that comes next asks the store from where it stands, and tells its
-/// own peers what it hears.
+/// The VMs that watch have died. The VM that comes next asks the store from where it stands, and
+/// tells its own peers what it hears.
 #[tokio::test(start_paused = true)]
 async fn a_vm_that_must_watch_again_goes_on_where_it_stands() {
     local(async {
@@ -152,8 +154,9 @@
     .await;
 }
 
-/// A VM is cut off from the store, and its peers are not. It goes on asking, and takes what they pass on
-/// meanwhile: callers are served by the routes and targets of now, though the store cannot be heard.
+/// A VM is cut off from the store, and its peers are not. It goes on asking, and takes what they
+/// pass on meanwhile: callers are served by the routes and targets of now, though the store cannot
+/// be heard.
 #[tokio::test(start_paused = true)]
 async fn a_vm_that_has_lost_the_store_takes_what_peers_pass_on() {
     local(async {
@@ -171,9 +174,9 @@
     .await;
 }
 
-/// A VM was cut off from all others, and is back. It has waited longer and longer between its tries; but the
-/// digests of its peers show that they have newer routes, and it asks at once: its callers would be served by
-/// the replaced ones until it tries by itself.
+/// A VM was cut off from all others, and is back. It has waited longer and longer between its
+/// tries; but the digests of its peers show that they have newer routes, and it asks at once: its
+/// callers would be served by the replaced ones until it tries by itself.
 #[tokio::test(start_paused = true)]
 async fn a_vm_that_hears_of_news_after_a_cut_asks_at_once() {
     local(async {
@@ -195,9 +198,9 @@
     .await;
 }
 
-/// The store is away for five seconds, and peers that it serves have news meanwhile. Three tables are followed;
-/// were each asked for again and again, a fleet of 70 would spend most of a day's calls on such an outage. One
-/// asks for all, and all know at once of the return.
+/// The store is away for five seconds, and peers that it serves have news meanwhile. Three tables
+/// are followed; were each asked for again and again, a fleet of 70 would spend most of a day's
+/// calls on such an outage. One asks for all, and all know at once of the return.
 #[tokio::test(start_paused = true)]
 async fn one_table_asks_while_the_store_is_away() {
     local(async {
--- a/crates/ryetide-gateway/tests/table_follower/support.rs
+++ b/crates/ryetide-gateway/tests/table_follower/support.rs
@@ -148,7 +148,8 @@
     Answer::Fault(TableFault::Failed("turned away".to_owned()))
 }
 
-/// Follows until the script's answers are used up and `span` more has passed; returns what was told.
+/// Follows until the script's answers are used up and `span` more has passed; returns what was
+/// told.
 pub async fn follow(script: &Rc<Script>, span: Duration) -> Vec<String> {
     let (sender, mut updates) = mpsc::channel(64);
     let fleet_size = Rc::new(Cell::new(3));
--- a/crates/ryetide-gateway/tests/table_rows.rs
+++ b/crates/ryetide-gateway/tests/table_rows.rs
@@ -1,4 +1,4 @@
-//! Rows of a store as its history tells them.
+//! Reduction of a table's history to the latest state of each row.
 
 use bytes::Bytes;
 use ryetide_gateway::{
@@ -11,10 +11,10 @@
     TableRow { key: key.to_owned(), version, value }
 }
 
-/// A VM that was cut off from the store hears of two versions of the configuration at once. Callers
-/// must be served by the second: the first was replaced before the VM heard of either.
+/// Guards against a VM that was cut off from the store, receives two versions of the configuration
+/// at once, and applies the first, which was already replaced.
 #[test]
-fn the_last_of_several_changes_counts() {
+fn the_last_of_several_changes_is_used() {
     let changes = vec![
         change("config", 5, Some("first")),
         change("other", 6, Some("kept")),
@@ -25,9 +25,10 @@
     assert_eq!(last, expected);
 }
 
-/// A target's entry lapses and is written anew while nobody could listen. It must not count as gone.
+/// Guards against a target that counts as gone although its entry, which expired while the VM was
+/// cut off, has been written again.
 #[test]
-fn an_entry_that_came_back_is_there() {
+fn an_entry_that_was_deleted_and_written_again_is_present() {
     let changes = vec![change("t1", 5, None), change("t1", 6, Some("ready"))];
     assert_eq!(table_follower::last_states(changes), vec![change("t1", 6, Some("ready"))]);
 }
--- a/crates/ryetide-gateway/tests/target_news.rs
+++ b/crates/ryetide-gateway/tests/target_news.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a change among the targets.
+//! Changes among the targets, as the log lists them.
 
 use std::time::Duration;
 
@@ -19,19 +19,20 @@
     }
 }
 
-/// One target begins to leave, one goes and one comes that leaves already; the one that stays is not told.
+/// Of four targets one starts to leave, one goes, and one arrives that is already leaving; the
+/// unchanged one is not listed.
 #[test]
 fn each_target_that_changed_is_named_once() {
     let before = [entry("a", false), entry("b", false), entry("c", false)];
     let after = [entry("a", true), entry("c", false), entry("d", true)];
     let TargetNews { arrived, leaving, gone } = TargetNews::between(&before, &after);
-    let told = [arrived, leaving, gone].map(|names| names.to_string());
-    assert_eq!(told, ["d", "a,d", "b"]);
+    let listed = [arrived, leaving, gone].map(|names| names.to_string());
+    assert_eq!(listed, ["d", "a,d", "b"]);
 }
 
-/// The same targets again are no news, so that a sweep five times a second writes no line.
+/// Guards against a log entry for each sweep, five times a second, when no target has changed.
 #[test]
-fn an_unchanged_list_is_no_news() {
+fn an_unchanged_list_is_not_reported() {
     let fleet = FleetView::default();
     let update = RegistryUpdate::whole(vec![entry("a", false)]);
     fleet.registry().borrow_mut().take(Moment::from_millis(1), update);
