--- a/crates/ryetide-gateway/tests/table_follower/leaving.rs
+++ b/crates/ryetide-gateway/tests/table_follower/leaving.rs
@@ -63,7 +63,7 @@
         }
         let (peer, changes) = ModelVm::start(&store, "e1", self.bounds);
         let (vm, _changes) = ModelVm::start(&store, "e2", self.bounds);
-        task::spawn_local(model_store::pass_on(Rc::clone(&peer), changes, Rc::clone(&vm)));
+        task::spawn_local(model_store::relay_changes(Rc::clone(&peer), changes, Rc::clone(&vm)));
         vm.relay.set_duty(self.after == AfterCut::Watches);
         time::sleep(Duration::from_secs(5)).await;
         assert!(peer.uses("a") && vm.uses("a"), "both know the targets");
@@ -167,7 +167,11 @@
                 store.register("a");
                 let (peer, changes) = ModelVm::start(&store, "e1", bounds(3, 4));
                 let (vm, _changes) = ModelVm::start(&store, "e2", bounds(3, 4));
-                task::spawn_local(model_store::pass_on(Rc::clone(&peer), changes, Rc::clone(&vm)));
+                task::spawn_local(model_store::relay_changes(
+                    Rc::clone(&peer),
+                    changes,
+                    Rc::clone(&vm),
+                ));
                 vm.relay.set_duty(noticed);
                 time::sleep(Duration::from_secs(5)).await;
                 peer.path.cut(CutKind::Refused);
--- a/crates/ryetide-gateway/tests/table_follower/main.rs
+++ b/crates/ryetide-gateway/tests/table_follower/main.rs
@@ -1,10 +1,10 @@
-//! Following a table of a store that does as it likes; no network, and time that is paused.
+//! Following a table of a store that fails in several ways, without a network and with paused time.
 
 mod eras;
+mod lag;
 mod leaving;
 mod model_store;
-mod nudges;
-mod rests;
+mod passive;
 mod support;
 
 use std::time::Duration;
@@ -18,10 +18,11 @@
 use support::{Answer, Call, PACE, Script, failed, follow, row};
 use tokio::time::Instant;
 
-/// After a loss of its history the store answers from the past. What it says then is not told, or a
-/// replaced version would serve callers again; the next true reading is.
+/// Guards against a follower that applies an old table. After a loss of its history, the store may
+/// return old data, by which requests would be served with a replaced version. The follower ignores
+/// it until the store returns current data.
 #[tokio::test(start_paused = true)]
-async fn a_reading_from_the_past_is_passed_over() {
+async fn an_outdated_read_is_ignored() {
     let script = Script::new([
         Answer::Rows(9, vec![row("a", 8), row("b", 9)]),
         Answer::Fault(TableFault::HistoryGone),
@@ -29,17 +30,17 @@
         Answer::Rows(5, vec![row("a", 4)]),
         Answer::Rows(11, vec![row("a", 8), row("b", 10), row("c", 11)]),
     ]);
-    let told = follow(&script, Duration::ZERO).await;
-    assert_eq!(told, ["2 rows", "3 rows"]);
+    let updates = follow(&script, Duration::ZERO).await;
+    assert_eq!(updates, ["2 rows", "3 rows"]);
     let calls = script.calls();
     assert_eq!(calls[1], Call::Follow(9, PACE.wait));
     assert_eq!(calls[2..5], [Call::ReadAll, Call::ReadAll, Call::ReadAll]);
 }
 
-/// The store is away for several calls. That is told once, and so is its return; until it is back
-/// it is asked for short waits only, since it may fall silent again.
+/// Guards against repeated reports of one outage, in which several calls fail. Until the store is
+/// available again, calls use a short wait, since it may stop answering again.
 #[tokio::test(start_paused = true)]
-async fn the_loss_and_the_return_are_told_once_each() {
+async fn an_outage_and_its_end_are_reported_once_each() {
     let script = Script::new([
         Answer::Rows(3, vec![row("a", 3)]),
         failed(),
@@ -48,19 +49,19 @@
         Answer::Rows(3, Vec::new()),
         Answer::Silent,
     ]);
-    let told = follow(&script, Duration::ZERO).await;
-    assert_eq!(told, ["1 rows", "SourceLost", "SourceBack"]);
+    let updates = follow(&script, Duration::ZERO).await;
+    assert_eq!(updates, ["1 rows", "SourceLost", "SourceBack"]);
     let waits: Vec<Call> = script.calls()[1..].to_vec();
     let short = Call::Follow(3, Duration::from_secs(1));
     let long = Call::Follow(3, PACE.wait);
     assert_eq!(waits, [long.clone(), short.clone(), short.clone(), short, long]);
 }
 
-/// The store was lost and is back. For some seconds an entry that is missing may be of a target
-/// that lives, and is kept for a while; so what is missing must be known soon, or one that has
-/// truly left gets new work for too long. Later the changes are told together again.
+/// Guards against targets that get new work for too long after an outage of the store. For some
+/// seconds, a missing entry may belong to a live target, and is kept for a grace period, so missing
+/// entries must be detected early. Later the full pause applies again.
 #[tokio::test(start_paused = true)]
-async fn changes_are_told_sooner_after_the_store_was_lost() {
+async fn the_pause_after_a_change_is_shorter_after_an_outage() {
     let changes = |versions: std::ops::Range<u64>| {
         versions.map(|version| Answer::Rows(version, vec![row("a", version)]))
     };
@@ -81,9 +82,10 @@
     assert!(after.len() > soon, "{after:?}");
 }
 
-/// An answer of no changes may tell a version from before; the next call must not go back to it.
+/// Guards against a follower that goes back to an older version because an answer without changes
+/// carries it.
 #[tokio::test(start_paused = true)]
-async fn an_answer_without_changes_takes_nothing_back() {
+async fn an_answer_without_changes_does_not_lower_the_version() {
     let script = Script::new([
         Answer::Rows(7, vec![row("a", 7)]),
         Answer::Rows(0, Vec::new()),
@@ -93,10 +95,10 @@
     assert_eq!(script.calls()[2], Call::Follow(7, PACE.wait));
 }
 
-/// A VM that restarts meets the row of its last life, and then its own, written by a call whose
-/// answer was lost: both end the trying as they should.
+/// Checks that a restarted VM overwrites the row of its last incarnation, and stops retrying when
+/// it finds its own row, written by a call whose answer was lost.
 #[tokio::test(start_paused = true)]
-async fn a_row_of_an_earlier_life_is_written_over() {
+async fn a_row_of_an_earlier_incarnation_is_overwritten() {
     let old = TableRow { value: RowValue::Present(Bytes::from_static(b"old")), ..row("e1", 5) };
     let script = Script::new([
         Answer::Fault(TableFault::Conflict(Some(old))),
@@ -107,11 +109,10 @@
     assert_eq!(script.calls(), [Call::Write(0), Call::Write(5), Call::Write(5)]);
 }
 
-/// A store that tells of conflicts without the row gives nothing new to try with. It is asked again
-/// after pauses: without them one VM would put hundreds of calls a second to it, for all others
-/// too.
+/// Guards against retries without a pause when the store reports conflicts without the current row.
+/// Without pauses one VM would send it hundreds of calls a second, at the expense of all others.
 #[tokio::test(start_paused = true)]
-async fn a_conflict_that_tells_nothing_is_not_answered_at_once() {
+async fn a_conflict_without_a_row_is_retried_after_a_pause() {
     let conflicts = (0..10).map(|_| Answer::Fault(TableFault::Conflict(None)));
     let script = Script::new(conflicts.chain([Answer::Written]));
     let begun = Instant::now();
@@ -120,16 +121,16 @@
     assert!(begun.elapsed() > Duration::from_secs(2), "{:?}", begun.elapsed());
 }
 
-/// In a small fleet a VM relies on itself to find out that its call has gone silent. In a large one
-/// each asks less often, at moments of its own: the calls are paid for, and one that finds out
-/// tells the others.
+/// Checks the waits of long-poll calls. In a small fleet, each VM has to detect a call that hangs
+/// by itself. In a large one, each VM calls less often, at random moments: calls have a price, and
+/// the first VM that detects a fault informs the others.
 #[test]
 fn waits_grow_with_the_fleet_and_are_spread() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut draw = |fleet_size| -> Vec<Duration> {
         (0..100).map(|_| PACE.draw_wait(fleet_size, &mut rng)).collect()
     };
-    assert!(draw(9).iter().all(|wait| *wait == PACE.wait), "all are needed to find out");
+    assert!(draw(9).iter().all(|wait| *wait == PACE.wait), "each VM must detect faults itself");
     let large = draw(70);
     let (least, most) = (large.iter().min().expect("some"), large.iter().max().expect("some"));
     assert!(*least >= PACE.wait && *most <= Duration::from_millis(4_900), "{least:?} {most:?}");
--- a/crates/ryetide-gateway/tests/table_follower/model_store.rs
+++ b/crates/ryetide-gateway/tests/table_follower/model_store.rs
@@ -1,4 +1,4 @@
-//! A store and the entry VMs that follow it, in one process and on a paused clock.
+//! A model of a store and the entry VMs that follow it, in one process and on a paused clock.
 //!
 //! The store tells the last state of each row that has changed, at once, to every VM that reaches
 //! it. Each VM runs the feed of the product, keeps the registry of the product, and looks at it as
@@ -35,20 +35,20 @@
     time::{self, Instant},
 };
 
-/// How often the gateway looks which targets' time is over.
+/// How often the gateway removes targets whose grace period has ended.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
-/// How often a VM tells its mates how far its watch has come.
+/// How often a VM sends its position to its peers.
 const DIGEST_INTERVAL: Duration = Duration::from_millis(400);
-/// The way between two VMs.
-const TRAVEL: Duration = Duration::from_millis(2);
-/// How soon a store that turns a call away says so.
+/// The network delay between two VMs.
+const NETWORK_DELAY: Duration = Duration::from_millis(2);
+/// How soon the store answers or refuses a call.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
 
 /// Rows by their tables and keys, each with the version of its last change; nothing for one that
 /// was dropped.
 type Rows = BTreeMap<(String, String), (u64, Option<Bytes>)>;
 
-/// The store.
+/// A store in memory.
 #[derive(Default)]
 pub struct ModelStore {
     rows: RefCell<Rows>,
@@ -57,7 +57,7 @@
     changed: Notify,
 }
 
-/// The store as it was at one moment.
+/// A copy of the store.
 pub struct StoreCopy {
     rows: Rows,
     version: u64,
@@ -68,14 +68,14 @@
         StoreCopy { rows: self.rows.borrow().clone(), version: self.version.get() }
     }
 
-    /// Comes back as the copy has it, in another era.
+    /// Restores the content of `copy`, and starts a new era.
     pub fn restore(&self, copy: &StoreCopy) {
         *self.rows.borrow_mut() = copy.rows.clone();
         self.version.set(copy.version);
         self.era.set(self.era.get() + 1);
     }
 
-    fn joined(&self, number: u64) -> u64 {
+    fn packed(&self, number: u64) -> u64 {
         EraVersion { era: self.era.get(), number }.to_packed()
     }
 
@@ -83,12 +83,12 @@
         self.change(table, key, Some(Bytes::copy_from_slice(value)));
     }
 
-    /// Writes the entry of a target that takes work.
+    /// Writes the entry of a target that accepts work.
     pub fn register(&self, target: &str) {
         self.put(FleetTable::Targets, target, b"ready");
     }
 
-    /// Ends the entry of a target that left without a word.
+    /// Deletes the entry of a target that left without notice.
     pub fn drop_target(&self, target: &str) {
         self.change(FleetTable::Targets, target, None);
     }
@@ -106,18 +106,18 @@
         let changed = rows.iter().filter(|((of, _), (at, _))| *of == table && *at > version);
         let row = |((_, key), (at, value)): (&(String, String), &(u64, Option<Bytes>))| {
             let value = value.clone().map_or(RowValue::Dropped, RowValue::Present);
-            TableRow { key: key.clone(), version: self.joined(*at), value }
+            TableRow { key: key.clone(), version: self.packed(*at), value }
         };
         let mut rows: Vec<TableRow> = changed.map(row).collect();
         rows.sort_by_key(|row| row.version);
-        TableRows { rows, version: self.joined(self.version.get()) }
+        TableRows { rows, version: self.packed(self.version.get()) }
     }
 }
 
-/// What stands between one VM and the store.
+/// The connection between one VM and the store.
 #[derive(Default)]
 pub struct StorePath {
-    /// Calls made on it.
+    /// The number of calls made on it.
     pub calls: Cell<usize>,
     cut: Cell<Option<CutKind>>,
     changed: Notify,
@@ -126,9 +126,9 @@
 /// How a VM is cut off from the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CutKind {
-    /// Calls end at once.
+    /// Calls fail at once.
     Refused,
-    /// Calls stay without an answer; those that are open stay so when the cut has ended.
+    /// Calls hang; those that are open go on hanging after the cut has ended.
     Silent,
 }
 
@@ -146,7 +146,7 @@
         self.cut.get().is_some()
     }
 
-    /// Returns when a call on this path has failed.
+    /// Returns the fault of a call on this path, when it fails.
     async fn fails(&self, limit: Duration) -> TableFault {
         self.calls.set(self.calls.get() + 1);
         let until = Instant::now() + limit;
@@ -240,7 +240,7 @@
     }
 }
 
-/// The store as one VM reaches it.
+/// The store, as seen by one VM.
 pub struct ModelFleet {
     pub store: Rc<ModelStore>,
     pub path: Rc<StorePath>,
@@ -265,7 +265,7 @@
     }
 
     fn read_word(&self, _value: &[u8]) -> Result<RolloutStatus, StepError> {
-        Err(StepError::new("read word", "this store tells no orders"))
+        Err(StepError::new("read word", "this store has no orders"))
     }
 
     fn write_word(
@@ -273,7 +273,7 @@
         _order: &RolloutOrder,
         _word: RolloutStatus,
     ) -> Result<Vec<u8>, StepError> {
-        Err(StepError::new("write word", "this store tells no orders"))
+        Err(StepError::new("write word", "this store has no orders"))
     }
 
     fn target(&self, name: &str, _value: &[u8]) -> Result<TargetEntry, StepError> {
@@ -291,24 +291,24 @@
     }
 }
 
-/// An entry VM: its feed, and what it believes.
+/// An entry VM: its feed and its view of the targets.
 pub struct ModelVm {
     pub path: Rc<StorePath>,
     pub relay: Rc<FeedRelay>,
     pub nudge: Rc<FeedNudge>,
-    /// Whether the datagrams with changes are lost that peers send to it.
+    /// Whether the datagrams with changes that peers send to it are lost.
     pub loses_changes: Cell<bool>,
     fleet: FleetView,
     started: Instant,
     /// The targets that get work.
     in_use: RefCell<Vec<String>>,
-    /// When those that do not any more stopped to.
+    /// When each of the other known targets stopped getting work.
     stopped: RefCell<BTreeMap<String, Instant>>,
 }
 
 impl ModelVm {
-    /// Starts a VM that watches the store until it is told to rest, and returns the end from which
-    /// its changes are passed on too.
+    /// Starts a VM that watches the store until it is made passive. Returns the VM and the receiver
+    /// of the changes that it relays.
     pub fn start(
         store: &Rc<ModelStore>,
         name: &str,
@@ -326,8 +326,8 @@
             stopped: RefCell::default(),
         });
         let fleet = ModelFleet { store: Rc::clone(store), path: Rc::clone(&vm.path) };
-        let (updates, news) = mpsc::channel(64);
-        let line = FeedLine {
+        let (updates, received) = mpsc::channel(64);
+        let channels = FeedLine {
             updates,
             nudge: Rc::clone(&vm.nudge),
             fleet_size: Rc::new(Cell::new(65)),
@@ -343,16 +343,16 @@
             link: LinkRate(0),
             kept: Vec::new(),
         };
-        task::spawn_local(Box::new(StoreFeed::new(fleet, bounds)).run(own, line));
-        task::spawn_local(Rc::clone(&vm).take_news(news));
+        task::spawn_local(Box::new(StoreFeed::new(fleet, bounds)).run(own, channels));
+        task::spawn_local(Rc::clone(&vm).apply_updates(received));
         (vm, changes)
     }
 
-    async fn take_news(self: Rc<Self>, mut news: mpsc::Receiver<FleetUpdate>) {
+    async fn apply_updates(self: Rc<Self>, mut received: mpsc::Receiver<FleetUpdate>) {
         let mut sweeps = time::interval(SWEEP_INTERVAL);
         loop {
             tokio::select! {
-                update = news.recv() => match update {
+                update = received.recv() => match update {
                     Some(FleetUpdate::Targets(update, newest)) => {
                         self.fleet.registry().borrow_mut().take(self.now(), update);
                         self.fleet.registry().borrow_mut().record_newest(newest);
@@ -365,15 +365,15 @@
                 },
                 _ = sweeps.tick() => {}
             }
-            self.look();
+            self.refresh();
         }
     }
 
-    fn look(&self) {
-        let Some((targets, news)) = self.fleet.refresh_targets(self.now()) else { return };
+    fn refresh(&self) {
+        let Some((targets, changes)) = self.fleet.refresh_targets(self.now()) else { return };
         let names = targets.iter().map(|target| target.name.to_string());
         *self.in_use.borrow_mut() = names.collect();
-        for name in news.gone.0 {
+        for name in changes.gone.0 {
             self.stopped.borrow_mut().insert(name.to_string(), Instant::now());
         }
     }
@@ -392,12 +392,12 @@
         self.in_use.borrow().iter().any(|name| name == target)
     }
 
-    /// Returns whether a target that was known has ever stopped to get work.
+    /// Returns whether a known target has ever stopped getting work.
     pub fn has_stopped(&self, target: &str) -> bool {
         self.stopped.borrow().contains_key(target)
     }
 
-    /// Returns when a target stopped to get work: now, if it still does.
+    /// Returns when a target stopped getting work, or the current time if it still gets work.
     pub fn last_used(&self, target: &str) -> Instant {
         if self.uses(target) {
             return Instant::now();
@@ -406,9 +406,8 @@
     }
 }
 
-/// Passes on what `from` hears to a VM that rests on it, and how far its watch has come. What is
-/// sent while that VM is cut off is lost.
-pub async fn pass_on(
+/// Relays the changes and positions of `from` to `to`. What is sent while `to` is cut off is lost.
+pub async fn relay_changes(
     from: Rc<ModelVm>,
     mut changes: mpsc::Receiver<RelayedChange>,
     to: Rc<ModelVm>,
@@ -418,14 +417,14 @@
         tokio::select! {
             change = changes.recv() => {
                 let Some(change) = change else { return };
-                time::sleep(TRAVEL).await;
+                time::sleep(NETWORK_DELAY).await;
                 if !to.path.is_cut() && !to.loses_changes.get() {
                     to.relay.hear(change);
                 }
             }
             _ = digests.tick() => {
-                if let Some(note) = from.relay.watch_note().filter(|_| !to.path.is_cut()) {
-                    to.relay.note_peer(&note);
+                if let Some(report) = from.relay.watch_note().filter(|_| !to.path.is_cut()) {
+                    to.relay.note_peer(&report);
                 }
             }
         }
--- a/crates/ryetide-gateway/tests/table_follower/support.rs
+++ b/crates/ryetide-gateway/tests/table_follower/support.rs
@@ -1,4 +1,4 @@
-//! A store's table that answers as a test has written down.
+//! A store table that returns scripted answers.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,9 +29,9 @@
     pause: Duration::from_millis(800),
 };
 /// Longer than any of these tests takes on the paused clock.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a table was asked.
+/// A call to the table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Call {
     ReadAll,
@@ -39,7 +39,7 @@
     Write(u64),
 }
 
-/// What it answers; with no answer left it stays silent.
+/// An answer of the table. When none is left, calls hang.
 pub enum Answer {
     Rows(u64, Vec<TableRow>),
     Fault(TableFault),
@@ -82,7 +82,7 @@
         match self.0.next(call) {
             Answer::Rows(version, rows) => Ok(TableRows { rows, version }),
             Answer::Fault(fault) => Err(fault),
-            Answer::Written => panic!("a reading was asked for"),
+            Answer::Written => panic!("the call must be a read, not a write"),
             Answer::Silent => future::pending().await,
         }
     }
@@ -115,14 +115,14 @@
             match self.0.next(Call::Write(expected)) {
                 Answer::Written => Ok(()),
                 Answer::Fault(fault) => Err(fault),
-                Answer::Rows(..) => panic!("a write was asked for"),
+                Answer::Rows(..) => panic!("the call must be a write, not a read"),
                 Answer::Silent => future::pending().await,
             }
         })
     }
 }
 
-/// Tells what it is given as the numbers of rows and versions.
+/// Reports the number of rows that it gets.
 pub struct CountingReader;
 
 impl RowReader for CountingReader {
@@ -145,15 +145,15 @@
 }
 
 pub fn failed() -> Answer {
-    Answer::Fault(TableFault::Failed("turned away".to_owned()))
+    Answer::Fault(TableFault::Failed("refused".to_owned()))
 }
 
-/// Follows until the script's answers are used up and `span` more has passed; returns what was
-/// told.
+/// Follows the table until the script has no answers left and `span` more has passed. Returns the
+/// updates.
 pub async fn follow(script: &Rc<Script>, span: Duration) -> Vec<String> {
     let (sender, mut updates) = mpsc::channel(64);
     let fleet_size = Rc::new(Cell::new(3));
-    let line = FeedLine {
+    let channels = FeedLine {
         updates: sender,
         nudge: Rc::new(FeedNudge::default()),
         fleet_size,
@@ -161,33 +161,33 @@
         kept: watch::channel(Vec::new()).1,
         duties: watch::channel(Vec::new()).1,
     };
-    let follower = TableFollower::new(script.table(), PACE, CountingReader, line);
-    let used_up = async {
+    let follower = TableFollower::new(script.table(), PACE, CountingReader, channels);
+    let exhausted = async {
         while !script.answers.borrow().is_empty() {
             time::sleep(Duration::from_millis(10)).await;
         }
         time::sleep(span).await;
     };
-    time::timeout(PATIENCE, async {
+    time::timeout(TEST_TIMEOUT, async {
         tokio::select! {
-            () = follower.run() => panic!("a follower goes on"),
-            () = used_up => {}
+            () = follower.run() => panic!("the follower must not end"),
+            () = exhausted => {}
         }
     })
     .await
-    .expect("answers that are asked for");
-    told(&mut updates)
+    .expect("all answers must be used");
+    drain_updates(&mut updates)
 }
 
-/// Returns what was told so far.
-pub fn told(updates: &mut mpsc::Receiver<FleetUpdate>) -> Vec<String> {
-    let mut told = Vec::new();
+/// Returns the updates received so far.
+pub fn drain_updates(updates: &mut mpsc::Receiver<FleetUpdate>) -> Vec<String> {
+    let mut drained = Vec::new();
     while let Ok(update) = updates.try_recv() {
-        told.push(match update {
+        drained.push(match update {
             FleetUpdate::TargetsReached(rows) => format!("{rows} rows"),
             FleetUpdate::Targets(update, _) => format!("{update:?}"),
             other => panic!("{other:?}"),
         });
     }
-    told
+    drained
 }
