--- a/crates/ryetide-gateway/src/table_follower.rs
+++ b/crates/ryetide-gateway/src/table_follower.rs
@@ -115,8 +115,8 @@
         None
     }
 
-    /// Reports that rows of live targets may be missing for the time `left`, since this VM or the
-    /// relaying peer has lost the store.
+    /// Reports that rows of live targets may be missing for the time `left`, since the relaying peer
+    /// had lost the store, or the store was restored from a copy.
     fn doubt(&mut self, left: Duration) -> Option<FleetUpdate> {
         let _ = left;
         None
--- a/crates/ryetide-gateway/tests/table_follower/model_store.rs
+++ b/crates/ryetide-gateway/tests/table_follower/model_store.rs
@@ -1,8 +1,8 @@
 //! A model of a store and the entry VMs that follow it, in one process and on a paused clock.
 //!
-//! The store tells the last state of each row that has changed, at once, to every VM that reaches
-//! it. Each VM runs the feed of the product, keeps the registry of the product, and looks at it as
-//! the gateway does: at news, and with each sweep.
+//! The store returns the latest state of each changed row, at once, to every VM that can reach it.
+//! Each VM runs the production feed and registry, and refreshes its targets as the gateway does:
+//! after updates and with each sweep.
 
 use std::{
     cell::{Cell, RefCell},
@@ -44,8 +44,8 @@
 /// How soon the store answers or refuses a call.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
 
-/// Rows by their tables and keys, each with the version of its last change; nothing for one that
-/// was dropped.
+/// Rows by table and key, each with the version of its last change and its value; `None` for the
+/// value of a deleted row.
 type Rows = BTreeMap<(String, String), (u64, Option<Bytes>)>;
 
 /// A store in memory.
@@ -365,11 +365,11 @@
                 },
                 _ = sweeps.tick() => {}
             }
-            self.refresh();
+            self.refresh_targets();
         }
     }
 
-    fn refresh(&self) {
+    fn refresh_targets(&self) {
         let Some((targets, changes)) = self.fleet.refresh_targets(self.now()) else { return };
         let names = targets.iter().map(|target| target.name.to_string());
         *self.in_use.borrow_mut() = names.collect();
@@ -382,8 +382,7 @@
         Moment(u64::try_from(self.started.elapsed().as_micros()).expect("a short test") + 1)
     }
 
-    /// Returns whether a peer has news of targets that have not come here, as its digests would
-    /// show.
+    /// Returns whether a peer has changes of targets that this VM lacks, as its digests would show.
     pub fn is_behind(&self, peer: &Self) -> bool {
         peer.fleet.registry().borrow().newest() > self.fleet.registry().borrow().reached()
     }
--- a/crates/ryetide-gateway/tests/table_follower/passive.rs
+++ b/crates/ryetide-gateway/tests/table_follower/passive.rs
@@ -79,8 +79,8 @@
         let mut vm = Vm::start(false, [Answer::Rows(10, vec![row("a", 8), row("b", 10)])]);
         pass(1_000).await;
         assert_eq!(vm.drain_updates(), ["2 rows"]);
-        // Between two changes the store's versions rise for other reasons, which the peers' digests
-        // tell.
+        // Between two changes the store's version rises for other reasons, which the peers' digests
+        // show.
         for version in (20..620).step_by(10) {
             vm.relay.hear(change(version - 10, &[row("a", version)]));
             vm.relay.hear(change(version - 10, &[row("a", version)]));
