--- a/crates/ryetide-gateway/src/feed_watch.rs
+++ b/crates/ryetide-gateway/src/feed_watch.rs
@@ -61,11 +61,11 @@
 /// use ryetide_core::peer_digests::FeedLag;
 /// use ryetide_gateway::{feed_watch::{FeedPauses, FeedWatch}, store_table::FleetTable};
 ///
-/// let mut watch = FeedWatch::new(FeedPauses::default(), Duration::from_millis(200));
+/// let mut monitor = FeedWatch::new(FeedPauses::default(), Duration::from_millis(200));
 /// let behind = FeedLag { routes: true, targets: false };
-/// assert_eq!(watch.due(behind), []);
-/// assert_eq!(watch.due(behind), []);
-/// assert_eq!(watch.due(behind), [FleetTable::Routes]);
+/// assert_eq!(monitor.due(behind), []);
+/// assert_eq!(monitor.due(behind), []);
+/// assert_eq!(monitor.due(behind), [FleetTable::Routes]);
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct FeedWatch {
--- a/crates/ryetide-gateway/tests/table_follower/lag.rs
+++ b/crates/ryetide-gateway/tests/table_follower/lag.rs
@@ -30,9 +30,9 @@
 /// Returns which of thirty checks that find a VM behind are followed by a query, and of which
 /// table.
 fn due(pauses: FeedPauses, behind: FeedLag) -> Vec<(u32, FleetTable)> {
-    let mut watch = FeedWatch::new(pauses, CHECK_INTERVAL);
+    let mut monitor = FeedWatch::new(pauses, CHECK_INTERVAL);
     let checks =
-        (1..=30).flat_map(|check| watch.due(behind).into_iter().map(move |it| (check, it)));
+        (1..=30).flat_map(|check| monitor.due(behind).into_iter().map(move |it| (check, it)));
     checks.collect()
 }
 
@@ -84,7 +84,7 @@
             ));
             time::sleep(Duration::from_millis(100)).await;
             let (other, _others) = ModelVm::start(&store, "e3", bounds);
-            let mut watch = FeedWatch::new(pauses(bounds), CHECK_INTERVAL);
+            let mut monitor = FeedWatch::new(pauses(bounds), CHECK_INTERVAL);
             let (mut calls, mut behind_checks) = (0, 0);
             for change in 0..200 {
                 store.register(&format!("t{change}"));
@@ -97,7 +97,7 @@
                 }
                 let behind = FeedLag { routes: false, targets: vm.is_behind(&other) };
                 behind_checks += usize::from(behind.targets);
-                watch.due(behind).into_iter().for_each(|table| vm.nudge.ring(table));
+                monitor.due(behind).into_iter().for_each(|table| vm.nudge.ring(table));
             }
             assert!(
                 behind_checks > 50,
