--- a/crates/ryetide-gateway/src/store_table.rs
+++ b/crates/ryetide-gateway/src/store_table.rs
@@ -72,11 +72,11 @@
 pub enum TableFault {
     /// The changes since the given version are no longer available, or the store was restored from
     /// a copy since.
-    #[error("the history is gone")]
+    #[error("the changes since the requested version are no longer available")]
     HistoryGone,
     /// The row does not have the version that the write expected. Holds the current row, if there
     /// is one.
-    #[error("the row has another version")]
+    #[error("the row does not have the expected version")]
     Conflict(Option<TableRow>),
     /// The store refused the call, did not answer, or sent an answer that cannot be decoded. A
     /// write may have taken effect.
