--- a/crates/ryetide-gateway/src/digest_relay.rs
+++ b/crates/ryetide-gateway/src/digest_relay.rs
@@ -1,9 +1,10 @@
-//! Digests of other VMs that this one passes on to its group.
+//! Relays digests of other VMs to the VMs of this one's cell or data centre.
 //!
-//! [`ryetide_core::digest_route`] decides who passes on. What comes in within a digest's interval goes on in one
-//! message: at forty VMs that is some four digests in calm and all of them in a burst, which the others else
-//! would have to take one by one. The datagrams are passed on as they came, so that each still bears the hash
-//! of the VM that speaks in it.
+//! [`ryetide_core::digest_route`] selects the relaying VMs. All digests that arrive within one relay
+//! interval go out in as few messages as the size limit allows. With forty VMs that is about four
+//! digests under normal load and all of them in a burst, which the recipients would otherwise receive
+//! one by one. The datagrams are relayed unchanged, so that each still carries the keyed hash of its
+//! original sender.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -20,56 +21,56 @@
     ports::PeerEntry,
 };
 
-/// The most bytes of datagrams in one message: a datagram of this size takes 3 ms on a link of 20 Mbit/s.
+/// The most bytes of datagrams in one message. Sending this many takes 3 ms on a link of 20 Mbit/s.
 const MESSAGE_LIMIT: usize = 8_192;
-/// The most datagrams that wait to be passed on. Many times what comes within an interval; beyond it the VM is
-/// overrun, and newer digests follow.
+/// The most datagrams that wait to be relayed, many times what arrives within an interval. Beyond it the
+/// VM is overloaded; further digests are dropped, and newer ones follow.
 const WAITING_LIMIT: usize = 1_024;
 
-/// Digests that wait to be passed on.
+/// The digests that wait to be relayed.
 #[derive(Default)]
 pub struct DigestRelay {
     waiting: RefCell<WaitingDigests>,
-    bell: Notify,
+    arrived: Notify,
 }
 
 #[derive(Default)]
 struct WaitingDigests {
     /// For the VMs of this one's cell.
-    to_mates: Vec<Bytes>,
+    for_cell: Vec<Bytes>,
     /// For all VMs of this data centre.
-    to_centre: Vec<Bytes>,
+    for_data_centre: Vec<Bytes>,
 }
 
 impl DigestRelay {
-    /// Takes a datagram that holds a digest of this scope, to be passed on.
+    /// Queues a datagram that holds a digest of this scope for relaying.
     pub fn take(&self, datagram: &[u8], scope: DigestScope) {
         let mut waiting = self.waiting.borrow_mut();
         let queue = match scope {
-            DigestScope::Brief => &mut waiting.to_centre,
-            DigestScope::Whole | DigestScope::Changes => &mut waiting.to_mates,
+            DigestScope::Brief => &mut waiting.for_data_centre,
+            DigestScope::Whole | DigestScope::Changes => &mut waiting.for_cell,
         };
         if queue.len() >= WAITING_LIMIT {
-            tracing::debug!(event = "digest-not-passed-on", reason = "too many wait");
+            tracing::debug!(event = "digest-not-passed-on", reason = "relay queue is full");
             return;
         }
         queue.push(Bytes::copy_from_slice(datagram));
-        self.bell.notify_one();
+        self.arrived.notify_one();
     }
 }
 
-/// Passes on what has come, until the task is ended.
+/// Relays queued digests until the task is cancelled.
 pub async fn pass_on(gateway: Rc<Gateway>, link: Rc<PeerLink>) {
-    let mut passed = Instant::now();
+    let mut sent = Instant::now();
     loop {
-        link.relay().bell.notified().await;
-        time::sleep_until(passed + digest_timing::RELAY_INTERVAL).await;
-        passed = Instant::now();
-        let WaitingDigests { to_mates, to_centre } = link.relay().waiting.take();
-        send(&gateway, &link, to_mates, |peer, _| {
+        link.relay().arrived.notified().await;
+        time::sleep_until(sent + digest_timing::RELAY_INTERVAL).await;
+        sent = Instant::now();
+        let WaitingDigests { for_cell, for_data_centre } = link.relay().waiting.take();
+        send(&gateway, &link, for_cell, |peer, _| {
             gateway.hub().peek(|scheduler| scheduler.is_cell_peer(&peer.name))
         });
-        send(&gateway, &link, to_centre, |peer, own| peer.data_centre == *own);
+        send(&gateway, &link, for_data_centre, |peer, own| peer.data_centre == *own);
     }
 }
 
@@ -77,7 +78,7 @@
     gateway: &Gateway,
     link: &PeerLink,
     datagrams: Vec<Bytes>,
-    is_told: impl Fn(&PeerEntry, &DataCentreName) -> bool,
+    is_recipient: impl Fn(&PeerEntry, &DataCentreName) -> bool,
 ) {
     if datagrams.is_empty() {
         return;
@@ -87,27 +88,28 @@
         (settings.name.clone(), settings.data_centre.clone())
     };
     let all = gateway.peers().borrow();
-    let told: Vec<PeerEntry> = all.values().filter(|peer| is_told(peer, &own)).cloned().collect();
+    let recipients: Vec<PeerEntry> =
+        all.values().filter(|peer| is_recipient(peer, &own)).cloned().collect();
     drop(all);
-    for part in split(datagrams) {
-        let message = PeerMessage::PassedOn(part);
-        link.send(&PeerEnvelope { from: from.clone(), message }, &told);
+    for batch in split(datagrams) {
+        let message = PeerMessage::PassedOn(batch);
+        link.send(&PeerEnvelope { from: from.clone(), message }, &recipients);
     }
 }
 
-/// Splits datagrams into parts of at most [`MESSAGE_LIMIT`] bytes; a larger one is a part of its own.
+/// Groups datagrams into batches of at most [`MESSAGE_LIMIT`] bytes; a larger one forms a batch alone.
 fn split(datagrams: Vec<Bytes>) -> Vec<Vec<Bytes>> {
-    let mut parts: Vec<Vec<Bytes>> = Vec::new();
+    let mut batches: Vec<Vec<Bytes>> = Vec::new();
     let mut size = 0;
     for datagram in datagrams {
         size += datagram.len();
-        match parts.last_mut().filter(|_| size <= MESSAGE_LIMIT) {
-            Some(part) => part.push(datagram),
+        match batches.last_mut().filter(|_| size <= MESSAGE_LIMIT) {
+            Some(batch) => batch.push(datagram),
             None => {
                 size = datagram.len();
-                parts.push(vec![datagram]);
+                batches.push(vec![datagram]);
             }
         }
     }
-    parts
+    batches
 }
--- a/crates/ryetide-gateway/src/fleet_duties.rs
+++ b/crates/ryetide-gateway/src/fleet_duties.rs
@@ -1,4 +1,5 @@
-//! The tasks beside the callers': news of the fleet, the line, digests to peers, sweeping.
+//! Background tasks of a gateway: fleet updates, scheduler timers, digests to peers, periodic
+//! maintenance.
 
 use std::{cell::Cell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -29,35 +30,38 @@
     target_news::NameList,
 };
 
-/// How often kept connections, entries that lapse and levels are looked at.
+/// The interval at which idle connections, expiring target entries and gauges are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
-/// The longest time between two digests.
-const DIGEST_GREATEST: Duration = Duration::from_millis(400);
-/// The time between two brief digests to peers of other cells; the short one while an organisation is
-/// near the end of its quota, which all VMs must then count together, after a crash: what ended with the target at
-/// other VMs must be known before a request is blamed for it, and after a target has named another limit.
+/// The longest time between two digests to peers of the same cell.
+const MAX_DIGEST_INTERVAL: Duration = Duration::from_millis(400);
+/// The time between two brief digests to peers of other cells.
 const BRIEF_INTERVAL: Duration = Duration::from_millis(1_000);
-const BRIEF_SHORT: Duration = Duration::from_millis(300);
+/// The time between two brief digests to peers of other cells while an update is urgent.
+///
+/// It applies while an organisation has nearly used up its quota, because all VMs must then add up
+/// its use; after a crash, because a VM attributes it to a request only once it knows which requests
+/// the target was running for other VMs; and after a target has changed its limit.
+const URGENT_BRIEF_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Takes news of the fleet to those whom they concern.
+/// Applies updates from the fleet feed to the routes, the target registry, the scheduler and the peers.
 pub struct FleetNewsTaker {
     /// The gateway.
     pub gateway: Rc<Gateway>,
     /// The link to the peers.
     pub link: Rc<PeerLink>,
-    /// Told to the feed: how many entry VMs there are.
+    /// The number of entry VMs, shared with the feed.
     pub fleet_size: Rc<Cell<usize>>,
 }
 
 impl FleetNewsTaker {
-    /// Takes news until the feed ends.
+    /// Applies updates until the feed ends.
     pub async fn run(self, mut updates: mpsc::Receiver<FleetUpdate>) {
         while let Some(update) = updates.recv().await {
-            self.take(update);
+            self.apply(update);
         }
     }
 
-    fn take(&self, update: FleetUpdate) {
+    fn apply(&self, update: FleetUpdate) {
         let gateway = &self.gateway;
         match update {
             FleetUpdate::Routes(routes) => {
@@ -72,7 +76,7 @@
                 let now = gateway.hub().clock().now();
                 gateway.fleet().registry().borrow_mut().take(now, update);
                 gateway.fleet().registry().borrow_mut().record_newest(newest);
-                log_kept(gateway, now);
+                log_targets_in_grace(gateway, now);
                 refresh_targets(gateway);
             }
             FleetUpdate::TargetsReached(number) => {
@@ -90,12 +94,12 @@
             FleetUpdate::Rollout(report) => gateway.hub().with(|scheduler, now| {
                 scheduler.with_rollouts(now, |manager, now| manager.take_report(now, &report));
             }),
-            FleetUpdate::Peers(listed) => self.take_peers(listed),
+            FleetUpdate::Peers(listed) => self.apply_peers(listed),
             FleetUpdate::OwnSecret(secret) => self.link.set_secret(secret),
         }
     }
 
-    fn take_peers(&self, listed: Vec<PeerEntry>) {
+    fn apply_peers(&self, listed: Vec<PeerEntry>) {
         let (own, link) = {
             let settings = self.gateway.settings().borrow();
             (settings.name.clone(), settings.link)
@@ -116,45 +120,46 @@
     }
 }
 
-/// Lets the scheduler do what falls due, and tells peers what has changed.
+/// Advances the scheduler whenever one of its timers is due, and sends digests to peers.
 pub async fn schedule(gateway: Rc<Gateway>, link: Rc<PeerLink>) {
-    let mut told = Instant::now();
-    let mut told_briefly = told;
+    let mut digest_sent = Instant::now();
+    let mut brief_sent = digest_sent;
     let mut pending = false;
     loop {
         let now = gateway.hub().clock().now();
         let wake = gateway.hub().peek(|scheduler| scheduler.next_wake(now));
         pending |= gateway.hub().peek_mut(Scheduler::take_changed);
-        let least = gateway.hub().peek(Scheduler::digest_interval);
-        let wait = if pending { least } else { DIGEST_GREATEST.max(least) };
-        let digest_at = told + wait;
-        let line_at = wake.map(|wake| gateway.hub().clock().instant(wake));
-        let until = line_at.map_or(digest_at, |line_at| line_at.min(digest_at));
+        let min_interval = gateway.hub().peek(Scheduler::digest_interval);
+        let wait = if pending { min_interval } else { MAX_DIGEST_INTERVAL.max(min_interval) };
+        let digest_at = digest_sent + wait;
+        let timer_at = wake.map(|wake| gateway.hub().clock().instant(wake));
+        let until = timer_at.map_or(digest_at, |timer_at| timer_at.min(digest_at));
         tokio::select! {
             () = time::sleep_until(until) => {}
             () = gateway.hub().rung() => {}
         }
-        if line_at.is_some_and(|at| Instant::now() >= at) {
+        if timer_at.is_some_and(|at| Instant::now() >= at) {
             gateway.hub().with(Scheduler::advance);
         }
         if Instant::now() >= digest_at {
-            told = Instant::now();
+            digest_sent = Instant::now();
             pending = false;
             tell_mates(&gateway, &link, false);
         }
-        let hurries = gateway.hub().peek(|it| {
+        let urgent = gateway.hub().peek(|it| {
             it.is_quota_short() || it.crashes().has_fresh(now) || it.has_fresh_limit(now)
         });
-        let interval = if hurries { BRIEF_SHORT } else { BRIEF_INTERVAL };
-        if told_briefly.elapsed() >= interval {
-            told_briefly = Instant::now();
+        let interval = if urgent { URGENT_BRIEF_INTERVAL } else { BRIEF_INTERVAL };
+        if brief_sent.elapsed() >= interval {
+            brief_sent = Instant::now();
             gateway.hub().with(Scheduler::plan_cells);
             tell_others(&gateway, &link, false);
         }
     }
 }
 
-/// Closes kept connections, drops entries that lapse, and brings levels up to date.
+/// Periodically closes idle connections, drops expired target entries, asks a lagging feed to read
+/// again, and updates the gauges.
 pub async fn sweep(gateway: Rc<Gateway>, nudge: Rc<FeedNudge>, pauses: FeedPauses) {
     let mut watch = FeedWatch::new(pauses, SWEEP_INTERVAL);
     let mut ticks = time::interval(SWEEP_INTERVAL);
@@ -163,10 +168,10 @@
         ticks.tick().await;
         gateway.pool().sweep();
         refresh_targets(&gateway);
-        look_at_duty(&gateway);
+        update_watch_duty(&gateway);
         for table in watch.due(feed_lag(&gateway)) {
             tracing::info!(event = "feed-nudged", %table, revision = %gateway.fleet().revision());
-            // While the store is away one table's follower asks for all.
+            // While the store is unreachable only one table's follower connects to it, on behalf of all.
             if gateway.relay().outage().is_away() {
                 nudge.ring_all();
             } else {
@@ -180,8 +185,8 @@
     }
 }
 
-/// Works out anew whether this VM must watch the source of routes and targets.
-fn look_at_duty(gateway: &Gateway) {
+/// Updates whether this VM must watch the store for changes of routes and targets.
+fn update_watch_duty(gateway: &Gateway) {
     let now = gateway.hub().clock().now();
     let must_watch = gateway.hub().peek(|scheduler| scheduler.must_watch(now));
     if gateway.relay().set_duty(must_watch) {
@@ -189,7 +194,8 @@
     }
 }
 
-/// Passes changes of the store's tables on to the peers that rely on it, until the feed ends.
+/// Relays changes of the store's tables to the passive VMs that rely on this one, until the feed
+/// ends.
 pub async fn pass_changes_on(
     gateway: Rc<Gateway>,
     link: Rc<PeerLink>,
@@ -210,22 +216,23 @@
     }
 }
 
-/// Returns in what peers have news that have not come here.
+/// Returns which tables peers have read further than this VM.
 fn feed_lag(gateway: &Gateway) -> FeedLag {
-    let (now, news) = (gateway.hub().clock().now(), gateway.news());
-    gateway.hub().peek(|scheduler| scheduler.feed_lag(now, news))
+    let (now, state) = (gateway.hub().clock().now(), gateway.news());
+    gateway.hub().peek(|scheduler| scheduler.feed_lag(now, state))
 }
 
-/// Tells which targets get work though their entries are missing, and for how long yet at the most.
-fn log_kept(gateway: &Gateway, now: Moment) {
+/// Logs the targets that still receive requests although their entries are missing, and the longest
+/// time for which that continues.
+fn log_targets_in_grace(gateway: &Gateway, now: Moment) {
     let registry = gateway.fleet().registry().borrow();
-    let kept = NameList(registry.in_grace().cloned().collect());
+    let in_grace = NameList(registry.in_grace().cloned().collect());
     let Some(until) = registry.last_grace_end() else { return };
     let left_ms = until.since(now).as_millis();
-    tracing::info!(event = "targets-kept", version = %EraVersion::from_packed(registry.newest()), left_ms, kept = %kept);
+    tracing::info!(event = "targets-kept", version = %EraVersion::from_packed(registry.newest()), left_ms, kept = %in_grace);
 }
 
-/// Lets the scheduler know which targets there are now, and which of them leave.
+/// Passes the current targets to the scheduler when they have changed.
 pub fn refresh_targets(gateway: &Gateway) {
     let now = gateway.hub().clock().now();
     let Some((targets, news)) = gateway.fleet().refresh_targets(now) else { return };
@@ -243,27 +250,27 @@
     gateway.hub().with(|scheduler, now| scheduler.set_targets(now, targets));
 }
 
-/// Tells the peers of this VM's cell everything.
+/// Sends a full digest, or the changes since the last one, to the peers of this VM's cell.
 pub fn tell_mates(gateway: &Gateway, link: &PeerLink, leaving: bool) {
     let listed = listed_peers(gateway);
-    let (now, news) = (gateway.hub().clock().now(), gateway.news());
+    let (now, state) = (gateway.hub().clock().now(), gateway.news());
     let recipients = gateway.hub().peek_mut(|scheduler| scheduler.cell_recipients(now, &listed));
     if recipients.is_empty() {
         return;
     }
-    let digest = gateway.hub().peek_mut(|scheduler| scheduler.digest(now, news, leaving));
+    let digest = gateway.hub().peek_mut(|scheduler| scheduler.digest(now, state, leaving));
     send_digest(gateway, link, digest, &recipients);
 }
 
-/// Tells the peers of other cells what must be known everywhere.
+/// Sends a brief digest, with what every VM must know, to the peers of other cells.
 pub fn tell_others(gateway: &Gateway, link: &PeerLink, leaving: bool) {
     let listed = listed_peers(gateway);
-    let (now, news) = (gateway.hub().clock().now(), gateway.news());
+    let (now, state) = (gateway.hub().clock().now(), gateway.news());
     let recipients = gateway.hub().peek_mut(|scheduler| scheduler.outside_recipients(now, &listed));
     if recipients.is_empty() {
         return;
     }
-    let digest = gateway.hub().peek_mut(|scheduler| scheduler.brief_digest(now, news, leaving));
+    let digest = gateway.hub().peek_mut(|scheduler| scheduler.brief_digest(now, state, leaving));
     send_digest(gateway, link, digest, &recipients);
 }
 
--- a/crates/ryetide-gateway/src/fleet_view.rs
+++ b/crates/ryetide-gateway/src/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What this gateway believes of the fleet: the routes in force, the targets, the peers.
+//! This VM's current routes and targets.
 
 use std::{cell::RefCell, sync::Arc};
 
@@ -14,18 +14,18 @@
 
 use crate::target_news::TargetNews;
 
-/// The routes in force and the targets, as last told.
+/// The routes in force and the targets, as last received from the feed.
 #[derive(Default)]
 pub struct FleetView {
     routes: RefCell<Option<Arc<RouteTable>>>,
     registry: RefCell<TargetRegistry>,
     current: RefCell<Vec<TargetEntry>>,
-    /// Rung when the targets have changed.
+    /// Notified when the targets have changed.
     changed: Notify,
 }
 
 impl FleetView {
-    /// Returns the routes in force, or nothing before the first version has come.
+    /// Returns the routes in force, or `None` before the first version has arrived.
     pub fn routes(&self) -> Option<Arc<RouteTable>> {
         self.routes.borrow().clone()
     }
@@ -35,13 +35,13 @@
         self.routes.borrow().as_ref().map_or(Revision(0), |routes| routes.revision())
     }
 
-    /// Returns what callers may take up: by the routes in force, or by default before the first have
-    /// come, when callers are only told to come back.
+    /// Returns the limits on callers' resource use from the routes in force, or the defaults before
+    /// the first routes have arrived, when every request is refused with a retry delay.
     pub fn bounds(&self) -> CallerBounds {
         self.routes.borrow().as_ref().map(|routes| routes.bounds()).unwrap_or_default()
     }
 
-    /// Returns how far this VM's knowledge of the fleet reaches, but for its watch.
+    /// Returns how current this VM's routes and targets are; the field `watch` is left empty.
     pub fn news(&self, now: Moment) -> FleetState {
         let registry = self.registry.borrow();
         FleetState {
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Puts a version in force, unless a higher one is: a reader that lags behind must not bring an
-    /// older version back. Returns whether it is in force now.
+    /// Puts a version in force if it is newer than the present one, and returns whether it was.
+    ///
+    /// A source that lags behind must not bring back an older version.
     pub fn adopt(&self, routes: Arc<RouteTable>) -> bool {
         let newer = routes.revision() > self.revision();
         if newer {
@@ -63,12 +64,13 @@
         newer
     }
 
-    /// Returns the registry of targets, to take news.
+    /// Returns the target registry, for applying updates to it.
     pub fn registry(&self) -> &RefCell<TargetRegistry> {
         &self.registry
     }
 
-    /// Replaces the targets by what the registry says now; returns them when something changed, and what did.
+    /// Replaces the targets by those in the registry now. If anything changed, returns the new targets
+    /// and the differences.
     pub fn refresh_targets(&self, now: Moment) -> Option<(Vec<TargetEntry>, TargetNews)> {
         let found = self.registry.borrow_mut().current(now);
         if *self.current.borrow() == found {
@@ -80,18 +82,18 @@
         Some((found, news))
     }
 
-    /// Returns whether this life of a target is leaving or gone.
+    /// Returns whether this incarnation of a target is leaving or gone.
     pub fn has_left(&self, target: &TargetEntry) -> bool {
         let current = self.current.borrow();
         let found = current.iter().find(|entry| entry.name == target.name);
         found.is_none_or(|entry| entry.leaving || entry.incarnation != target.incarnation)
     }
 
-    /// Waits until a later life of a target is known.
+    /// Waits until a later incarnation of a target is known.
     ///
-    /// Whatever was sent to the earlier life is lost then. Where its VM lost power, nothing comes on the old
-    /// connections, not even their end, until a probe goes unanswered two to three seconds later; the new life's
-    /// entry says it sooner.
+    /// Whatever was sent to the earlier incarnation is lost then. If its VM lost power, the old
+    /// connections are not closed, and only a probe that goes unanswered shows the failure, two to three
+    /// seconds later; the entry of the new incarnation shows it sooner.
     pub async fn life_ended(&self, target: &TargetEntry) {
         loop {
             let changed = self.changed.notified();
@@ -107,12 +109,12 @@
         self.current.borrow().len()
     }
 
-    /// Returns what a service's targets run, when they are model engines.
+    /// Returns the engine profile of a service whose targets are model engines.
     pub fn engine(&self, service: &ServiceName) -> Option<EngineProfile> {
         self.routes.borrow().as_ref()?.service(service)?.engine
     }
 
-    /// Returns whether callers can be served: routes are in force, and the targets were read.
+    /// Returns whether callers can be served: routes are in force and the targets have been read.
     pub fn is_ready(&self) -> bool {
         self.routes.borrow().is_some() && self.registry.borrow().is_known()
     }
--- a/crates/ryetide-gateway/src/peer_link.rs
+++ b/crates/ryetide-gateway/src/peer_link.rs
@@ -1,14 +1,15 @@
 //! Messages to and from the other entry VMs: digests, and changes of the store's tables.
 //!
-//! A message is one datagram: a keyed hash and what it covers. Each VM draws its key when it starts first
-//! and makes it known where only the deployment's VMs can read, so that nobody else can tell a VM
-//! what to believe, and there is nothing to hand out; a VM that starts again goes on with the key that it
-//! finds there. Datagrams need no connection to each of many
-//! peers, and one that is lost is made good by the next.
+//! A message is one UDP datagram: a keyed hash followed by the encoded message that it covers. Each VM
+//! generates a random key at its first start and publishes it where only the VMs of the deployment can
+//! read it, so nobody else can forge a message, and operators have no keys to distribute. A restarted VM
+//! uses the key that it finds there. Datagrams need no connection to each of many peers, and a lost
+//! digest is superseded by the next one.
 //!
-//! While a fleet is rolled to a new release, VMs of two releases hear each other: what a release adds to a digest comes
-//! after all else and is empty where its bytes are zero. An older VM passes over bytes that it does not know, and a newer
-//! one reads the bytes that an older has not sent as zeros. A release that changes anything before them breaks that.
+//! During an upgrade of the fleet, VMs of two releases exchange messages. A release may therefore only
+//! append fields to a digest, and zero bytes must decode as the empty value of such a field: an older VM
+//! ignores trailing bytes, and a newer VM reads missing ones as zeros. Any other change of the encoding
+//! breaks the exchange.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -31,24 +32,25 @@
     target_words,
 };
 
-/// Bytes of the keyed hash that are sent: 128 bits.
+/// Length of the truncated keyed hash in bytes (128 bits).
 const TAG_LENGTH: usize = 16;
-/// Fields at the end of a digest that VMs of an earlier release do not send.
+/// Number of fields at the end of a digest that VMs of an earlier release do not send.
 const ADDED_FIELDS: usize = 2;
-/// The largest datagram that is read; a digest of 140 targets has some 5 KB.
+/// The largest datagram that is read, in bytes. A digest of 140 targets takes about 5 KB.
 const DATAGRAM_LIMIT: usize = 60_000;
 
-/// What one VM tells another.
+/// The content of a message between entry VMs.
 #[derive(Debug, Deserialize, Serialize)]
 pub enum PeerMessage {
-    /// Its load.
+    /// The sender's load digest.
     Digest(LoadDigest),
-    /// A change that it has heard of from the store.
+    /// A change of a table that the sender received from the store.
     Change(RelayedChange),
-    /// Its load, to be passed on: a brief digest to all VMs of the receiver's data centre, others to its cell.
+    /// The sender's load digest, which the receiver relays: a brief digest to all VMs of the receiver's
+    /// data centre, others to the VMs of its cell.
     PassOn(LoadDigest),
-    /// Datagrams with [`PeerMessage::PassOn`] that other VMs have sent to be passed on. Each still bears the hash
-    /// of its own sender.
+    /// Relayed datagrams, each a [`PeerMessage::PassOn`] that still carries the hash of its original
+    /// sender.
     PassedOn(Vec<Bytes>),
 }
 
@@ -57,32 +59,33 @@
 pub struct PeerEnvelope {
     /// The sender.
     pub from: VmName,
-    /// What it says.
+    /// The content.
     pub message: PeerMessage,
 }
 
-/// Why a datagram is not believed.
+/// Why a datagram is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum DatagramFault {
-    /// It is not a message.
-    #[error("unreadable: {0}")]
+    /// The message cannot be decoded.
+    #[error("undecodable message: {0}")]
     Unreadable(#[from] postcard::Error),
     /// It is shorter than a keyed hash.
-    #[error("too short")]
+    #[error("datagram is shorter than the keyed hash")]
     Short,
-    /// Its sender is not listed.
-    #[error("{0} is not listed")]
+    /// The sender is not a listed peer.
+    #[error("sender {0} is not a listed peer")]
     Unlisted(VmName),
-    /// Its keyed hash is not the sender's: the sender has started anew, or it is somebody else.
-    #[error("the hash is not {0}'s")]
+    /// The keyed hash does not match the sender's key: the sender has a new key, or the datagram is
+    /// forged.
+    #[error("the keyed hash does not match the key of {0}")]
     Forged(VmName),
 }
 
-/// Signs a message.
+/// Encodes and signs a message.
 ///
 /// # Errors
 ///
-/// Returns the codec's error when the message cannot be written.
+/// Returns the codec's error when the message cannot be encoded.
 pub fn seal(secret: &PeerSecret, envelope: &PeerEnvelope) -> Result<Vec<u8>, postcard::Error> {
     let body = postcard::to_allocvec(envelope)?;
     let key = hmac::Key::new(hmac::HMAC_SHA256, secret);
@@ -91,42 +94,42 @@
     Ok(datagram)
 }
 
-/// Reads a datagram and checks whose it is.
+/// Decodes a datagram and verifies its sender.
 ///
 /// # Errors
 ///
-/// Returns a [`DatagramFault`] when it is not a listed peer's message.
+/// Returns a [`DatagramFault`] when it is not a message of a listed peer.
 pub fn open(
     datagram: &[u8],
     secret_of: impl FnOnce(&VmName) -> Option<PeerSecret>,
 ) -> Result<PeerEnvelope, DatagramFault> {
     let (tag, body) = datagram.split_at_checked(TAG_LENGTH).ok_or(DatagramFault::Short)?;
-    let envelope = read(body)?;
+    let envelope = decode(body)?;
     let from = envelope.from.clone();
     let secret = secret_of(&from).ok_or_else(|| DatagramFault::Unlisted(from.clone()))?;
     let key = hmac::Key::new(hmac::HMAC_SHA256, &secret);
     let expected = hmac::sign(&key, body);
-    // The hash guards soft state between VMs of one deployment; what a peer could learn by timing it
-    // is a hash of its own bytes.
+    // The comparison need not run in constant time: the hash protects only soft state between VMs of
+    // one deployment, and timing reveals no more than the hash of the sender's own bytes.
     if expected.as_ref()[..TAG_LENGTH] != *tag {
         return Err(DatagramFault::Forged(from));
     }
     Ok(envelope)
 }
 
-/// Reads a message of this release or of an earlier one, which lacks what has been added at the end since.
-fn read(body: &[u8]) -> Result<PeerEnvelope, postcard::Error> {
+/// Decodes a message of this release, or of an earlier one that lacks the fields appended since.
+fn decode(body: &[u8]) -> Result<PeerEnvelope, postcard::Error> {
     match postcard::from_bytes(body) {
         Err(postcard::Error::DeserializeUnexpectedEnd) => {
             let mut padded = body.to_vec();
             padded.extend_from_slice(&[0; ADDED_FIELDS]);
             postcard::from_bytes(&padded)
         }
-        read => read,
+        decoded => decoded,
     }
 }
 
-/// This VM's socket for messages.
+/// The UDP socket for messages between entry VMs, with this VM's key.
 pub struct PeerLink {
     socket: UdpSocket,
     secret: Cell<PeerSecret>,
@@ -139,12 +142,12 @@
         Self { socket, secret: Cell::new(own.secret), relay: DigestRelay::default() }
     }
 
-    /// Returns the digests of others that wait to be passed on.
+    /// Returns the digests of other VMs that wait to be relayed.
     pub fn relay(&self) -> &DigestRelay {
         &self.relay
     }
 
-    /// Signs with this key from now on.
+    /// Sets the key with which messages are signed from now on.
     pub fn set_secret(&self, secret: PeerSecret) {
         self.secret.set(secret);
     }
@@ -159,7 +162,8 @@
             }
         };
         for peer in peers {
-            // A full socket or an unreachable peer loses a message; the next digest makes it good.
+            // A message is lost when the send buffer is full or the peer is unreachable; the next digest
+            // supersedes it.
             if let Err(error) = self.socket.try_send_to(&datagram, peer.address) {
                 tracing::debug!(event = "message-unsent", peer = %peer.name, reason = %error);
             }
@@ -167,7 +171,7 @@
     }
 }
 
-/// Takes messages until the task is ended.
+/// Receives messages until the task is cancelled.
 pub async fn receive(gateway: Rc<Gateway>, link: Rc<PeerLink>) {
     let mut buffer = vec![0; DATAGRAM_LIMIT];
     loop {
@@ -180,7 +184,7 @@
         };
         let datagram = &buffer[..length];
         match open_listed(&gateway, datagram) {
-            Ok(envelope) => take(&gateway, &link, envelope, datagram),
+            Ok(envelope) => handle(&gateway, &link, envelope, datagram),
             Err(fault) => tracing::debug!(event = "message-passed-over", reason = %fault),
         }
     }
@@ -191,7 +195,7 @@
     open(datagram, secret_of)
 }
 
-fn take(gateway: &Gateway, link: &PeerLink, envelope: PeerEnvelope, datagram: &[u8]) {
+fn handle(gateway: &Gateway, link: &PeerLink, envelope: PeerEnvelope, datagram: &[u8]) {
     let PeerEnvelope { from, message } = envelope;
     match message {
         PeerMessage::Digest(digest) => apply_digest(gateway, from, digest),
@@ -199,9 +203,9 @@
             link.relay.take(datagram, digest.scope);
             apply_digest(gateway, from, digest);
         }
-        PeerMessage::PassedOn(passed) => {
-            for inner in passed {
-                take_passed_on(gateway, &inner);
+        PeerMessage::PassedOn(relayed) => {
+            for inner in relayed {
+                handle_relayed(gateway, &inner);
             }
         }
         PeerMessage::Change(change) => gateway.relay().hear(change),
@@ -210,29 +214,31 @@
 
 fn apply_digest(gateway: &Gateway, from: VmName, mut digest: LoadDigest) {
     let era_here = EraVersion::from_packed(gateway.fleet().registry().borrow().reached()).era;
-    let watches_now =
-        |note: &WatchReport| EraVersion::from_packed(note.targets.reached).era >= era_here;
-    // One that has not found out yet that the store came back from a copy has nothing to pass on.
-    digest.watch = digest.watch.filter(watches_now);
-    // Those of other cells pass nothing on here, and may hear of a change before the mates do.
+    let is_in_era =
+        |report: &WatchReport| EraVersion::from_packed(report.targets.reached).era >= era_here;
+    // A peer that has not noticed yet that the store was restored from a copy reports positions in
+    // the old era, so its watch report is ignored.
+    digest.watch = digest.watch.filter(is_in_era);
+    // Watching VMs of other cells relay no changes to this VM and may know of a change before those of
+    // this cell do, so their reports are not used here.
     let is_cell_peer = gateway.hub().peek(|scheduler| scheduler.is_cell_peer(&from));
-    if let Some(note) = digest.watch.as_ref().filter(|_| is_cell_peer) {
-        gateway.relay().note_peer(note);
+    if let Some(report) = digest.watch.as_ref().filter(|_| is_cell_peer) {
+        gateway.relay().note_peer(report);
     }
     target_words::take_marks(gateway, &digest.leaving_targets);
     let envelope = DigestEnvelope { from, digest };
     gateway.hub().with(|scheduler, now| scheduler.apply_digest(now, envelope));
 }
 
-/// Takes a datagram that another VM has passed on. It is believed by the hash of the VM that speaks in it, and goes no
-/// further.
-fn take_passed_on(gateway: &Gateway, datagram: &[u8]) {
+/// Handles a datagram that another VM has relayed. It is verified with the key of its original sender
+/// and is not relayed again.
+fn handle_relayed(gateway: &Gateway, datagram: &[u8]) {
     match open_listed(gateway, datagram) {
         Ok(PeerEnvelope { from, message: PeerMessage::PassOn(digest) }) => {
             apply_digest(gateway, from, digest);
         }
         Ok(PeerEnvelope { from, .. }) => {
-            let reason = "not to be passed on";
+            let reason = "relayed message is not a digest to relay";
             tracing::debug!(event = "message-passed-over", peer = %from, reason);
         }
         Err(fault) => tracing::debug!(event = "message-passed-over", reason = %fault),
