--- a/crates/ryetide-gateway/src/fleet_duties.rs
+++ b/crates/ryetide-gateway/src/fleet_duties.rs
@@ -171,7 +171,8 @@
         update_watch_duty(&gateway);
         for table in watch.due(feed_lag(&gateway)) {
             tracing::info!(event = "feed-nudged", %table, revision = %gateway.fleet().revision());
-            // While the store is unreachable only one table's follower connects to it, on behalf of all.
+            // While the store is unreachable, only one table's follower retries its calls. It may be any
+            // of them, so all are notified.
             if gateway.relay().outage().is_away() {
                 nudge.ring_all();
             } else {
--- a/crates/ryetide-gateway/src/ports.rs
+++ b/crates/ryetide-gateway/src/ports.rs
@@ -1,7 +1,7 @@
-//! What a platform must provide, and what it is told.
+//! The interface between the gateway and a platform.
 //!
-//! The gateway knows no platform's names. An adapter gives it the headers' names, reads the size of a
-//! request from them, and feeds it routes, targets and peers.
+//! The gateway itself has no platform's names built in. An adapter supplies the header names, reads the
+//! size of a request from its headers, and supplies routes, targets and peers.
 
 use std::{cell::Cell, net, rc::Rc, sync::Arc, time::Duration};
 
@@ -22,43 +22,43 @@
 pub use crate::local_future::LocalFuture;
 use crate::{feed_nudge::FeedNudge, feed_relay::FeedRelay, feed_watch::FeedPauses};
 
-/// Output tokens assumed of a request that does not tell.
+/// Output tokens assumed for a request whose headers do not state them.
 const ASSUMED_OUTPUT: Tokens = Tokens(200);
 
-/// What one gateway is told when it starts.
+/// The settings of one gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
     /// This VM's name.
     pub name: VmName,
     /// Its data centre.
     pub data_centre: DataCentreName,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: net::SocketAddr,
-    /// Where readiness is asked for, and metrics.
+    /// The address for readiness checks and metrics.
     pub status: net::SocketAddr,
-    /// Where peers send datagrams.
+    /// The address for datagrams from peers.
     pub peers: net::SocketAddr,
-    /// Time from the order to stop until the process is killed.
+    /// The time from the stop signal until the process is killed.
     pub grace: Duration,
-    /// How much may be repeated.
+    /// The limit on retries.
     pub retry: RetryRule,
-    /// How much a version may get that may prove bad.
+    /// The limit on the traffic of a version that has not passed its trial yet.
     pub rollout: RolloutRule,
     /// The speed of this VM's link.
     pub link: LinkRate,
 }
 
-/// Where the settings are read from, at the start and when they may have changed.
+/// The source of the settings, read at the start and whenever they may have changed.
 pub trait SettingsSource {
-    /// Reads the settings as they are now.
+    /// Reads the current settings.
     ///
     /// # Errors
     ///
-    /// Returns a [`StepError`] when they cannot be read; those in use then stay.
+    /// Returns a [`StepError`] when they cannot be read; the settings in use then remain in force.
     fn read(&self) -> Result<GatewaySettings, StepError>;
 }
 
-/// The names of the headers that carry what the gateway must know or say.
+/// The names of the headers that the gateway reads and writes.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
     /// The request's id; targets repeat it in their answers.
@@ -67,44 +67,46 @@
     pub deadline: HeaderName,
     /// The caller's key.
     pub key: HeaderName,
-    /// The organisation, told to targets.
+    /// The organisation, sent to targets.
     pub organisation: HeaderName,
-    /// The target that is meant, told to targets.
+    /// The target for which a request is intended, sent to targets.
     pub target: HeaderName,
-    /// Present in an answer whose request did not run.
+    /// Present in an answer whose request was not executed.
     pub not_run: HeaderName,
-    /// Present in every answer that a target made itself.
+    /// Present in every answer that was produced by a target itself.
     pub signature: HeaderName,
-    /// Present in every answer of a target that leaves.
+    /// Present in every answer of a target that is leaving.
     pub leaving: HeaderName,
-    /// The requests a second that a target takes from all VMs together, in each of its answers while it names them.
+    /// The requests per second that a target accepts from all VMs together, in each of its answers while
+    /// it limits them.
     pub limit: HeaderName,
     /// The id of the last event of a stream that was received.
     pub last_event: HeaderName,
-    /// Headers that only the gateway may set: they are taken out of callers' requests.
+    /// Headers that only the gateway may set; they are removed from callers' requests.
     pub reserved: Vec<HeaderName>,
 }
 
-/// The size of a request's work, as far as its headers tell.
+/// The size of a request's work, as far as its headers state it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct WorkSize {
     /// Tokens of the prompt.
     pub prompt: Option<Tokens>,
-    /// The most tokens that may be generated.
+    /// The limit on generated tokens.
     pub output_limit: Option<Tokens>,
-    /// Tokens that the caller expects to be generated.
+    /// The number of generated tokens that the caller expects.
     pub output_hint: Option<Tokens>,
-    /// A hash of the prompt's last part, by which the same prompt is known again.
+    /// A hash of the prompt's last section, by which a repeated prompt is recognised.
     pub prompt_hash: Option<u32>,
 }
 
 impl WorkSize {
-    /// Returns the tokens that the answer is expected to have.
+    /// Returns the expected number of tokens of the answer.
     pub fn expected_output(&self) -> Tokens {
         self.output_hint.or(self.output_limit).unwrap_or(ASSUMED_OUTPUT)
     }
 
-    /// Returns the tokens by which the request counts against a quota, when it tells them.
+    /// Returns the number of tokens that the request counts against a quota, if its headers state both
+    /// the prompt and the output limit.
     pub fn quota_tokens(&self) -> Option<u64> {
         Some(self.prompt?.0 + self.output_limit?.0)
     }
@@ -112,86 +114,87 @@
 
 /// Reads the size of a request's work from its headers.
 pub trait WorkReader {
-    /// Returns what the headers tell; what they do not tell is left out.
+    /// Returns the sizes that the headers state; the others are `None`.
     fn read(&self, headers: &HeaderMap) -> WorkSize;
 }
 
-/// The key by which a VM's digests are known to be its own: drawn anew at each start.
+/// The key with which a VM signs its messages to peers.
 pub type PeerSecret = [u8; 32];
 
-/// Another entry VM, or this one as others see it.
+/// An entry VM as published to its peers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerEntry {
     /// Its name.
     pub name: VmName,
     /// Its data centre.
     pub data_centre: DataCentreName,
-    /// Where it takes digests.
+    /// The address for its digests.
     pub address: net::SocketAddr,
     /// The key of its digests.
     pub secret: PeerSecret,
     /// The speed of its link.
     pub link: LinkRate,
-    /// The requests under quarantine that it keeps for all to find.
+    /// The quarantines that it has stored for all VMs.
     pub kept: Vec<KeptQuarantine>,
 }
 
-/// A request that is sent to no target since it crashes them, as it is kept where it outlasts all VMs.
+/// A request in quarantine, sent to no target because it crashes them, in the form in which it is
+/// stored to survive a restart of all VMs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct KeptQuarantine {
     /// The request.
     #[serde(rename = "print")]
     pub fingerprint: RequestFingerprint,
-    /// When it was blamed, in Unix milliseconds.
+    /// When a crash was attributed to it, in Unix milliseconds.
     pub since_ms: u64,
-    /// When it was last asked for as far as is kept, in Unix milliseconds.
+    /// When a caller last attempted it, as far as stored, in Unix milliseconds.
     pub asked_ms: u64,
 }
 
-/// News of the fleet.
+/// An update about the fleet.
 #[derive(Clone, Debug)]
 pub enum FleetUpdate {
-    /// A version of the routes, as it was accepted.
+    /// A validated version of the routes.
     Routes(Arc<RouteTable>),
-    /// News of targets, and the number that their source gives the newest of them; 0 when it gives
+    /// Changes of targets, and the number that their source gives to the newest change; 0 if it gives
     /// none.
     Targets(RegistryUpdate, u64),
-    /// All news of targets up to this number, as their source gives it, have come.
+    /// All changes of targets up to this number of their source have been received.
     TargetsReached(u64),
-    /// Orders to bring new versions of services in.
+    /// Rollout orders for new versions of services.
     Orders(Vec<RolloutOrder>),
-    /// What the operators' row says of an order.
+    /// The status of a rollout order in the operators' row.
     Rollout(RolloutReport),
-    /// All entry VMs that are listed.
+    /// All listed entry VMs.
     Peers(Vec<PeerEntry>),
-    /// The key by which the peers know this VM already, from an earlier life.
+    /// The key that an earlier incarnation of this VM published to the peers.
     OwnSecret(PeerSecret),
 }
 
-/// A feed's ends of what joins it to the gateway.
+/// A feed's ends of the channels between it and the gateway.
 #[derive(Clone)]
 pub struct FeedLine {
-    /// Takes news. The feed ends when it closes.
+    /// Receives updates. The feed ends when this channel closes.
     pub updates: mpsc::Sender<FleetUpdate>,
-    /// Rung when another VM has news that have not come here: whatever the feed waits for may have
-    /// gone silent, and it should ask anew.
+    /// Notified when another VM has changes that this one lacks. The feed then repeats its pending
+    /// calls, since a call may hang without an error.
     pub nudge: Rc<FeedNudge>,
-    /// How many entry VMs there are, as far as known.
+    /// The number of known entry VMs.
     pub fleet_size: Rc<Cell<usize>>,
-    /// What this VM and its peers tell each other of changes.
+    /// Relays changes between this VM and its peers.
     pub relay: Rc<FeedRelay>,
-    /// The requests under quarantine that this VM keeps for all to find; a feed that has no store passes over them.
+    /// The quarantines that this VM stores for all VMs; a feed without a store ignores them.
     pub kept: watch::Receiver<Vec<KeptQuarantine>>,
-    /// What must be done at the operators' rows about orders, as long as it must.
+    /// The duties that are pending at the operators' rows of rollout orders.
     pub duties: watch::Receiver<Vec<RolloutDuty>>,
 }
 
-/// Where routes, targets and peers come from.
+/// The source of routes, targets and peers.
 pub trait FleetFeed {
-    /// Makes `own` known to the other entry VMs, and sends news until the line closes.
+    /// Publishes `own` to the other entry VMs, and sends updates until the channel closes.
     fn run(self: Box<Self>, own: PeerEntry, line: FeedLine) -> LocalFuture<'static, ()>;
 
-    /// Returns for how long it may make news wait, to tell them together.
+    /// Returns how long the feed may delay changes in order to batch them.
     fn pauses(&self) -> FeedPauses {
         FeedPauses::default()
     }
--- a/crates/ryetide-gateway/src/quarantine_keeper.rs
+++ b/crates/ryetide-gateway/src/quarantine_keeper.rs
@@ -1,5 +1,5 @@
-//! What is done about quarantines beside the callers' requests: they age, their begin and end are logged, and they are kept
-//! where they outlast all VMs.
+//! The background task for quarantines: expires them, logs when they begin and end, and passes them to
+//! the feed to be stored, so that they survive a restart of all VMs.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,92 +16,96 @@
     unix_time,
 };
 
-/// How often quarantines are looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// What is kept is written anew when a request was asked for this long after what it says, so that one which still comes is
-/// not found to be over.
-const REWRITE_SPAN: Duration = Duration::from_secs(QUARANTINE_TTL.as_secs() / 2);
+/// The interval at which quarantines are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How much later than stored the last attempt at a request must be for its quarantine to be stored
+/// again. Without this, a quarantine would count as expired in the store while callers still retry the
+/// request.
+const REWRITE_INTERVAL: Duration = Duration::from_secs(QUARANTINE_TTL.as_secs() / 2);
 
-/// Looks after the quarantines of one VM.
+/// Expires, logs and stores the quarantines of one VM.
 pub struct QuarantineKeeper {
-    kept: watch::Sender<Vec<KeptQuarantine>>,
+    stored: watch::Sender<Vec<KeptQuarantine>>,
 }
 
 impl QuarantineKeeper {
-    /// Creates a keeper, and what tells the feed what to keep.
+    /// Creates an instance, and the receiver through which the feed learns what to store.
     pub fn new() -> (Self, watch::Receiver<Vec<KeptQuarantine>>) {
-        let (kept, receiver) = watch::channel(Vec::new());
-        (Self { kept }, receiver)
+        let (stored, receiver) = watch::channel(Vec::new());
+        (Self { stored }, receiver)
     }
 
-    /// Looks after them until the task is ended.
+    /// Checks the quarantines until the task is cancelled.
     pub async fn run(self, gateway: Rc<Gateway>) {
-        let mut ticks = time::interval(LOOK_INTERVAL);
+        let mut ticks = time::interval(CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.look(&gateway);
+            self.check(&gateway);
         }
     }
 
-    fn look(&self, gateway: &Gateway) {
+    fn check(&self, gateway: &Gateway) {
         let now = gateway.hub().clock().now();
-        let (news, count, kept) = gateway.hub().peek_mut(|scheduler| {
+        let (changes, count, reports) = gateway.hub().peek_mut(|scheduler| {
             let ledger = scheduler.crashes_mut();
             ledger.age(now);
             (ledger.take_changes(), ledger.quarantine_count(), ledger.stored(now))
         });
         let vm = gateway.settings().borrow().name.clone();
-        for change in news {
+        for change in changes {
             quarantine_log::write(&vm, &change);
         }
         gateway.metrics().set_quarantined(count);
-        let today = unix_time::millis();
-        let kept: Vec<KeptQuarantine> = kept.iter().map(|mark| kept_of(mark, today)).collect();
-        self.kept.send_if_modified(|before| {
-            let changed = must_write(before, &kept);
+        let now_ms = unix_time::millis();
+        let found: Vec<KeptQuarantine> =
+            reports.iter().map(|report| to_stored(report, now_ms)).collect();
+        self.stored.send_if_modified(|before| {
+            let changed = must_write(before, &found);
             if changed {
-                *before = kept;
+                *before = found;
             }
             changed
         });
     }
 }
 
-/// Takes the quarantines that VMs keep, among them this one's from an earlier life.
+/// Adds the quarantines that VMs have stored, including those that an earlier incarnation of this VM
+/// stored.
 pub fn take_kept(gateway: &Gateway, own: &VmName, listed: &[PeerEntry]) {
     let now = gateway.hub().clock().now();
-    let today = unix_time::millis();
+    let now_ms = unix_time::millis();
     for peer in listed {
         for kept in &peer.kept {
-            let mark = mark_of(kept, today);
+            let report = to_report(kept, now_ms);
             let is_own = peer.name == *own;
-            gateway.hub().peek_mut(|it| it.crashes_mut().take_stored(now, &mark, is_own));
+            gateway.hub().peek_mut(|it| it.crashes_mut().take_stored(now, &report, is_own));
         }
     }
 }
 
-/// Returns whether what is kept must be written anew, where `before` stands and `found` is known.
+/// Returns whether the stored quarantines `before` must be replaced by the current ones, `found`.
 pub fn must_write(before: &[KeptQuarantine], found: &[KeptQuarantine]) -> bool {
-    let rewrite_ms = REWRITE_SPAN.as_millis() as u64;
-    let is_kept = |now: &KeptQuarantine| {
+    let rewrite_ms = REWRITE_INTERVAL.as_millis() as u64;
+    let is_current = |now: &KeptQuarantine| {
         let mut same = before.iter().filter(|it| it.fingerprint == now.fingerprint);
         same.any(|it| now.asked_ms < it.asked_ms.saturating_add(rewrite_ms))
     };
-    before.len() != found.len() || !found.iter().all(is_kept)
+    before.len() != found.len() || !found.iter().all(is_current)
 }
 
-fn kept_of(mark: &QuarantineReport, today_ms: u64) -> KeptQuarantine {
+fn to_stored(report: &QuarantineReport, now_ms: u64) -> KeptQuarantine {
     KeptQuarantine {
-        fingerprint: mark.fingerprint,
-        since_ms: today_ms.saturating_sub(u64::from(mark.age_ms)),
-        asked_ms: today_ms.saturating_sub(u64::from(mark.asked_ms)),
+        fingerprint: report.fingerprint,
+        since_ms: now_ms.saturating_sub(u64::from(report.age_ms)),
+        asked_ms: now_ms.saturating_sub(u64::from(report.asked_ms)),
     }
 }
 
-/// The times of day of two VMs may differ by seconds, which is little beside a quarantine's life.
-fn mark_of(kept: &KeptQuarantine, today_ms: u64) -> QuarantineReport {
-    let age = |at_ms: u64| u32::try_from(today_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
+/// Converts a stored quarantine to a report. The clocks of two VMs may differ by seconds, which is short
+/// compared with the duration of a quarantine.
+fn to_report(kept: &KeptQuarantine, now_ms: u64) -> QuarantineReport {
+    let age = |at_ms: u64| u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
     let (age_ms, asked_ms) = (age(kept.since_ms), age(kept.asked_ms));
     QuarantineReport { fingerprint: kept.fingerprint, age_ms, asked_ms }
 }
--- a/crates/ryetide-gateway/src/rollout_keeper.rs
+++ b/crates/ryetide-gateway/src/rollout_keeper.rs
@@ -1,5 +1,5 @@
-//! What is done about orders to bring new versions in beside the callers' requests: the evidence is weighed, steps are
-//! logged and told at once, and duties at the operators' rows are handed to the feed.
+//! The background task for rollout orders: periodically evaluates them, logs and sends state changes at
+//! once, and passes duties at the operators' rows to the feed.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,34 +13,35 @@
 
 use crate::{fleet_duties, gateway_state::Gateway, peer_link::PeerLink};
 
-/// How often orders are looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval at which orders are evaluated.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks after the orders at one VM.
+/// Evaluates the rollout orders at one VM and reports their progress.
 pub struct RolloutKeeper {
     duties: watch::Sender<Vec<RolloutDuty>>,
 }
 
 impl RolloutKeeper {
-    /// Creates a keeper, and what tells the feed what to do at the operators' rows.
+    /// Creates an instance, and the receiver through which the feed learns of duties at the operators'
+    /// rows.
     pub fn new() -> (Self, watch::Receiver<Vec<RolloutDuty>>) {
         let (duties, receiver) = watch::channel(Vec::new());
         (Self { duties }, receiver)
     }
 
-    /// Looks after them until the task is ended.
+    /// Evaluates the orders until the task is cancelled.
     pub async fn run(self, gateway: Rc<Gateway>, link: Rc<PeerLink>) {
-        let mut ticks = time::interval(LOOK_INTERVAL);
+        let mut ticks = time::interval(EVALUATION_INTERVAL);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             if gateway.hub().peek(|scheduler| scheduler.rollouts().rollouts().next().is_some()) {
-                self.look(&gateway, &link);
+                self.evaluate(&gateway, &link);
             }
         }
     }
 
-    fn look(&self, gateway: &Gateway, link: &PeerLink) {
+    fn evaluate(&self, gateway: &Gateway, link: &PeerLink) {
         let changes = gateway.hub().with(|scheduler, now| {
             scheduler.advance_rollouts(now);
             scheduler.with_rollouts(now, |manager, _| manager.take_changes())
@@ -55,7 +56,8 @@
             }
         });
         if !changes.is_empty() {
-            // What was found bad must get nothing more anywhere, and whoever waits to write the row need not.
+            // Peers must learn of the change at once: a version that failed its trial must get no more
+            // requests at any VM, and a VM that waits to write the operators' row need not do so.
             fleet_duties::tell_mates(gateway, link, false);
             fleet_duties::tell_others(gateway, link, false);
         }
@@ -73,13 +75,13 @@
     let RolloutChange { order, from, to, reason, placed, exposed, old, new } = change;
     let (service, version, number) = (&order.service, &order.to, order.number);
     let cause: &'static str = reason.into();
-    let judged = match reason {
+    let compared = match reason {
         RolloutReason::Evidence(VerdictReason::Failures(rate)) => Some(("failures", *rate)),
         RolloutReason::Evidence(VerdictReason::Slowness(rate)) => Some(("slowness", *rate)),
         _ => None,
     };
     let (by, RateComparison { expected, found, answers }) =
-        judged.unwrap_or(("-", RateComparison { expected: 0.0, found: 0.0, answers: 0 }));
+        compared.unwrap_or(("-", RateComparison { expected: 0.0, found: 0.0, answers: 0 }));
     tracing::info!(
         event = "rollout-step",
         %vm,
--- a/crates/ryetide-gateway/src/rollout_rows.rs
+++ b/crates/ryetide-gateway/src/rollout_rows.rs
@@ -1,7 +1,8 @@
-//! The rows in which operators are told what became of their orders to bring new versions in.
+//! Reads and writes the store rows that report the status of rollout orders to operators.
 //!
-//! Whoever writes one does so under the version that it has read. Of two VMs that decide differently one yields: it finds
-//! the row written after the order, and takes what it says. A row that is older than the order speaks of an earlier one.
+//! Each write is conditional on the row version that was read. If two VMs decide differently, the write
+//! of the second fails; it reads the row again and adopts the result in it. A row that is older than the
+//! order belongs to an earlier order.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,19 +20,20 @@
     unix_time,
 };
 
-/// A call that the store answers at once may take this long.
+/// The timeout of a call to the store.
 const CALL_LIMIT: Duration = Duration::from_millis(1_500);
-/// The pause before a duty is tried again that could not be done, or of whose end the scheduler has not taken note.
+/// The pause before pending duties are performed again: those that failed, and those whose result the
+/// scheduler has not processed yet.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// Tries at a row that others write at the same time.
-const CONFLICT_TRIES: u32 = 4;
+/// The number of attempts to write a row that other VMs write at the same time.
+const WRITE_ATTEMPTS: u32 = 4;
 
-/// What VMs know of an order that must outlast them all: when it was first seen, and so by when it must be decided, and
-/// whether the version was found good.
+/// The state of an order that must survive the loss of all VMs: when it was first seen, from which its
+/// deadline follows, and whether the version passed its trial.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 struct OrderNote {
     number: OrderNumber,
-    /// In Unix milliseconds.
+    /// When a VM first saw the order, in Unix milliseconds.
     began_ms: u64,
     #[serde(default)]
     passed: bool,
@@ -43,45 +45,46 @@
     }
 }
 
-/// Does what must be done at the rows.
+/// Performs the duties of rollout orders at their rows in the store.
 pub struct RolloutRows {
     store: Rc<dyn FleetStore>,
-    line: FeedLine,
+    channels: FeedLine,
 }
 
-/// Why a duty could not be done.
+/// Why a duty could not be performed.
 #[derive(Debug, thiserror::Error)]
 enum DutyFault {
     #[error("{0}")]
     Store(#[from] TableFault),
     #[error("{0}")]
     Row(#[from] StepError),
-    #[error("others write the row again and again")]
+    #[error("other VMs changed the row during every attempt to write it")]
     Contended,
 }
 
 impl RolloutRows {
-    /// Creates what does the duties that `line` tells.
-    pub fn new(store: Rc<dyn FleetStore>, line: FeedLine) -> Self {
-        Self { store, line }
+    /// Creates an instance that performs the duties received over `channels`.
+    pub fn new(store: Rc<dyn FleetStore>, channels: FeedLine) -> Self {
+        Self { store, channels }
     }
 
-    /// Does duties until the line closes.
+    /// Performs duties until the channel closes.
     pub async fn run(mut self) {
-        while self.line.duties.changed().await.is_ok() {
-            let mut words = self.store.open(FleetTable::RolloutWords);
+        while self.channels.duties.changed().await.is_ok() {
+            let mut statuses = self.store.open(FleetTable::RolloutWords);
             let mut notes = self.store.open(FleetTable::RolloutNotes);
             loop {
-                let duties = self.line.duties.borrow_and_update().clone();
+                let duties = self.channels.duties.borrow_and_update().clone();
                 if duties.is_empty() {
                     break;
                 }
                 for duty in &duties {
-                    self.perform(&mut *words, &mut *notes, duty).await;
+                    self.perform(&mut *statuses, &mut *notes, duty).await;
                 }
-                // A change of the duties ends the pause; the gateway may have ended too.
-                let _ = time::timeout(RETRY_PAUSE, self.line.duties.changed()).await;
-                if self.line.updates.is_closed() {
+                // A change of the duties ends the pause early; an error means that the gateway is shutting
+                // down, which is checked below.
+                let _ = time::timeout(RETRY_PAUSE, self.channels.duties.changed()).await;
+                if self.channels.updates.is_closed() {
                     return;
                 }
             }
@@ -90,24 +93,24 @@
 
     async fn perform(
         &self,
-        words: &mut dyn StoreTable,
+        statuses: &mut dyn StoreTable,
         notes: &mut dyn StoreTable,
         duty: &RolloutDuty,
     ) {
-        let done = match duty.task {
-            RolloutTask::Open => self.open(words, notes, &duty.order).await,
-            RolloutTask::Remember => self.remember(notes, &duty.order).await,
-            RolloutTask::End(word) => self.say(words, &duty.order, word).await,
+        let result = match duty.task {
+            RolloutTask::Open => self.open(statuses, notes, &duty.order).await,
+            RolloutTask::Remember => self.store_pass(notes, &duty.order).await,
+            RolloutTask::End(status) => self.write_status(statuses, &duty.order, status).await,
         };
         let (service, number) = (&duty.order.service, duty.order.number);
-        match done {
+        match result {
             Ok(report) => {
                 tracing::info!(event = "rollout-row", %service, %number, word = %report.status);
-                // The gateway may be ending.
-                let _ = self.line.updates.send(FleetUpdate::Rollout(report)).await;
+                // Sending fails only while the gateway is shutting down.
+                let _ = self.channels.updates.send(FleetUpdate::Rollout(report)).await;
             }
             Err(fault) => {
-                words.hang_up();
+                statuses.hang_up();
                 notes.hang_up();
                 let task = duty.task;
                 tracing::warn!(event = "rollout-row-failed", %service, %number, ?task, reason = %fault);
@@ -115,20 +118,20 @@
         }
     }
 
-    /// Finds out what became of an order, and says that it runs where nothing was said yet.
+    /// Reads the status of an order, and writes that it is running if there is none yet.
     async fn open(
         &self,
-        words: &mut dyn StoreTable,
+        statuses: &mut dyn StoreTable,
         notes: &mut dyn StoreTable,
         order: &RolloutOrder,
     ) -> Result<RolloutReport, DutyFault> {
         let note = self.note(notes, order, false).await?;
-        let report = self.say(words, order, RolloutStatus::Running).await?;
+        let report = self.write_status(statuses, order, RolloutStatus::Running).await?;
         Ok(RolloutReport { age: Some(note.age()), passed: note.passed, ..report })
     }
 
-    /// Writes down that the version was found good.
-    async fn remember(
+    /// Stores that the version passed its trial.
+    async fn store_pass(
         &self,
         notes: &mut dyn StoreTable,
         order: &RolloutOrder,
@@ -138,8 +141,8 @@
         Ok(RolloutReport { age: Some(note.age()), passed: true, ..report })
     }
 
-    /// Returns what is written down of an order. Whoever sees it first writes that down, and whoever finds the version
-    /// good.
+    /// Returns the stored note of an order. Writes one if there is none for this order, or if `passed` is
+    /// set and the stored note does not say so yet.
     async fn note(
         &self,
         notes: &mut dyn StoreTable,
@@ -147,7 +150,7 @@
         passed: bool,
     ) -> Result<OrderNote, DutyFault> {
         let key = order.service.as_str();
-        for _ in 0..CONFLICT_TRIES {
+        for _ in 0..WRITE_ATTEMPTS {
             let row = find(notes, key).await?;
             let found: Option<OrderNote> = row.as_ref().and_then(read_note);
             let is_of_order = |note: &OrderNote| {
@@ -160,7 +163,7 @@
             let began_ms = found.map_or_else(unix_time::millis, |note| note.began_ms);
             let note = OrderNote { number: order.number, began_ms, passed };
             let value = serde_json::to_vec(&note)
-                .map_err(|error| StepError::new("encode note of an order", error))?;
+                .map_err(|error| StepError::new("encode rollout note", error))?;
             match notes.write(key, version_of(&row), &value, CALL_LIMIT).await {
                 Ok(()) => return Ok(note),
                 Err(TableFault::Conflict(_)) => {}
@@ -170,25 +173,27 @@
         Err(DutyFault::Contended)
     }
 
-    /// Says `word` of an order, unless something was said that holds: its end, or that it runs.
-    async fn say(
+    /// Writes the status of an order, unless the row already holds a result, or this same status.
+    /// Returns the status that the row then holds.
+    async fn write_status(
         &self,
-        words: &mut dyn StoreTable,
+        statuses: &mut dyn StoreTable,
         order: &RolloutOrder,
-        word: RolloutStatus,
+        status: RolloutStatus,
     ) -> Result<RolloutReport, DutyFault> {
-        let report = |word| report_of(order, word);
+        let report = |status| report_of(order, status);
         let key = self.store.word_key(&order.service);
-        let value = self.store.write_word(order, word)?;
-        for _ in 0..CONFLICT_TRIES {
-            let row = find(words, &key).await?;
-            let said = row.as_ref().and_then(|row| self.word_of(row, order));
-            if let Some(said) = said.filter(|said| *said != RolloutStatus::Running || *said == word)
+        let value = self.store.write_word(order, status)?;
+        for _ in 0..WRITE_ATTEMPTS {
+            let row = find(statuses, &key).await?;
+            let stored = row.as_ref().and_then(|row| self.status_of(row, order));
+            if let Some(stored) =
+                stored.filter(|stored| *stored != RolloutStatus::Running || *stored == status)
             {
-                return Ok(report(said));
+                return Ok(report(stored));
             }
-            match words.write(&key, version_of(&row), &value, CALL_LIMIT).await {
-                Ok(()) => return Ok(report(word)),
+            match statuses.write(&key, version_of(&row), &value, CALL_LIMIT).await {
+                Ok(()) => return Ok(report(status)),
                 Err(TableFault::Conflict(_)) => {}
                 Err(fault) => return Err(fault.into()),
             }
@@ -196,8 +201,9 @@
         Err(DutyFault::Contended)
     }
 
-    /// What a row says of an order; nothing where it was written before the order, or cannot be read.
-    fn word_of(&self, row: &TableRow, order: &RolloutOrder) -> Option<RolloutStatus> {
+    /// Returns the status of an order in its row, or `None` if the row was written before the order or
+    /// cannot be decoded.
+    fn status_of(&self, row: &TableRow, order: &RolloutOrder) -> Option<RolloutStatus> {
         if row.version <= order.number.0 {
             return None;
         }
@@ -209,9 +215,9 @@
     }
 }
 
-fn report_of(order: &RolloutOrder, word: RolloutStatus) -> RolloutReport {
+fn report_of(order: &RolloutOrder, status: RolloutStatus) -> RolloutReport {
     let (service, number) = (order.service.clone(), order.number);
-    RolloutReport { service, number, status: word, age: None, passed: false }
+    RolloutReport { service, number, status, age: None, passed: false }
 }
 
 async fn find(table: &mut dyn StoreTable, key: &str) -> Result<Option<TableRow>, TableFault> {
@@ -223,7 +229,7 @@
     row.as_ref().map_or(0, |row| row.version)
 }
 
-/// A note that cannot be read is written over.
+/// Decodes a note. One that cannot be decoded is logged and will be overwritten.
 fn read_note(row: &TableRow) -> Option<OrderNote> {
     let read = serde_json::from_slice(row.value.bytes()?);
     read.inspect_err(|error| {
