--- a/crates/ryetide-gateway/src/decision_log.rs
+++ b/crates/ryetide-gateway/src/decision_log.rs
@@ -1,8 +1,9 @@
 //! The log of decisions about requests and targets.
 //!
-//! There is one line for each decision about a request and for each change of a target's state, with the
-//! request's id, the reason and the outcome. The rate of lines is limited: lines above the limit are
-//! counted, and the count is logged. Writing never blocks the gateway's thread; see [`ryetide::log`].
+//! There is one line for each decision about a request and for each change of a target's state,
+//! with the request's id, the reason and the outcome. The rate of lines is limited: lines above the
+//! limit are counted, and the count is logged. Writing never blocks the gateway's thread; see
+//! [`ryetide::log`].
 
 use std::{cell::RefCell, time::Duration};
 
@@ -73,8 +74,8 @@
 }
 
 impl DecisionLog {
-    /// Creates the log of `vm`, whose name is on every line because the logs of several VMs are read
-    /// together.
+    /// Creates the log of `vm`, whose name is on every line because the logs of several VMs are
+    /// read together.
     pub fn new(vm: VmName) -> Self {
         let now = Instant::now();
         let budget =
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Logs that a request was refused with a retry delay because its organisation's quota is used up.
+    /// Logs that a request was refused with a retry delay because its organisation's quota is used
+    /// up.
     ///
     /// `reachable_share` is the share of the entry VMs that this one can reach, and thus the share of the
     /// quota that it may allocate.
@@ -321,7 +323,8 @@
         );
     }
 
-    /// Returns whether a line may be written, and logs the number of dropped lines when that is due.
+    /// Returns whether a line may be written, and logs the number of dropped lines when that is
+    /// due.
     fn permits(&self) -> bool {
         let now = Instant::now();
         let mut budget = self.budget.borrow_mut();
--- a/crates/ryetide-gateway/src/digest_relay.rs
+++ b/crates/ryetide-gateway/src/digest_relay.rs
@@ -1,10 +1,10 @@
 //! Relays digests of other VMs to the VMs of this one's cell or data centre.
 //!
-//! [`ryetide_core::digest_route`] selects the relaying VMs. All digests that arrive within one relay
-//! interval go out in as few messages as the size limit allows. With forty VMs that is about four
-//! digests under normal load and all of them in a burst, which the recipients would otherwise receive
-//! one by one. The datagrams are relayed unchanged, so that each still carries the keyed hash of its
-//! original sender.
+//! [`ryetide_core::digest_route`] selects the relaying VMs. All digests that arrive within one
+//! relay interval go out in as few messages as the size limit allows. With forty VMs that is about
+//! four digests under normal load and all of them in a burst, which the recipients would otherwise
+//! receive one by one. The datagrams are relayed unchanged, so that each still carries the keyed
+//! hash of its original sender.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -23,8 +23,8 @@
 
 /// The most bytes of datagrams in one message. Sending this many takes 3 ms on a link of 20 Mbit/s.
 const MESSAGE_LIMIT: usize = 8_192;
-/// The most datagrams that wait to be relayed, many times what arrives within an interval. Beyond it the
-/// VM is overloaded; further digests are dropped, and newer ones follow.
+/// The most datagrams that wait to be relayed, many times what arrives within an interval. Beyond
+/// it the VM is overloaded; further digests are dropped, and newer ones follow.
 const WAITING_LIMIT: usize = 1_024;
 
 /// The digests that wait to be relayed.
@@ -97,7 +97,8 @@
     }
 }
 
-/// Groups datagrams into batches of at most [`MESSAGE_LIMIT`] bytes; a larger one forms a batch alone.
+/// Groups datagrams into batches of at most [`MESSAGE_LIMIT`] bytes; a larger one forms a batch
+/// alone.
 fn split(datagrams: Vec<Bytes>) -> Vec<Vec<Bytes>> {
     let mut batches: Vec<Vec<Bytes>> = Vec::new();
     let mut size = 0;
--- a/crates/ryetide-gateway/src/fleet_duties.rs
+++ b/crates/ryetide-gateway/src/fleet_duties.rs
@@ -39,11 +39,12 @@
 /// The time between two brief digests to peers of other cells while an update is urgent.
 ///
 /// It applies while an organisation has nearly used up its quota, because all VMs must then add up
-/// its use; after a crash, because a VM attributes it to a request only once it knows which requests
-/// the target was running for other VMs; and after a target has changed its limit.
+/// its use; after a crash, because a VM attributes it to a request only once it knows which
+/// requests the target was running for other VMs; and after a target has changed its limit.
 const URGENT_BRIEF_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Applies updates from the fleet feed to the routes, the target registry, the scheduler and the peers.
+/// Applies updates from the fleet feed to the routes, the target registry, the scheduler and the
+/// peers.
 pub struct FleetNewsTaker {
     /// The gateway.
     pub gateway: Rc<Gateway>,
@@ -171,8 +172,8 @@
         update_watch_duty(&gateway);
         for table in watch.due(feed_lag(&gateway)) {
             tracing::info!(event = "feed-nudged", %table, revision = %gateway.fleet().revision());
-            // While the store is unreachable, only one table's follower retries its calls. It may be any
-            // of them, so all are notified.
+            // While the store is unreachable, only one table's follower retries its calls. It may
+            // be any of them, so all are notified.
             if gateway.relay().outage().is_away() {
                 nudge.ring_all();
             } else {
--- a/crates/ryetide-gateway/src/fleet_view.rs
+++ b/crates/ryetide-gateway/src/fleet_view.rs
@@ -69,8 +69,8 @@
         &self.registry
     }
 
-    /// Replaces the targets by those in the registry now. If anything changed, returns the new targets
-    /// and the differences.
+    /// Replaces the targets by those in the registry now. If anything changed, returns the new
+    /// targets and the differences.
     pub fn refresh_targets(&self, now: Moment) -> Option<(Vec<TargetEntry>, TargetNews)> {
         let found = self.registry.borrow_mut().current(now);
         if *self.current.borrow() == found {
@@ -92,8 +92,8 @@
     /// Waits until a later incarnation of a target is known.
     ///
     /// Whatever was sent to the earlier incarnation is lost then. If its VM lost power, the old
-    /// connections are not closed, and only a probe that goes unanswered shows the failure, two to three
-    /// seconds later; the entry of the new incarnation shows it sooner.
+    /// connections are not closed, and only a probe that goes unanswered shows the failure, two to
+    /// three seconds later; the entry of the new incarnation shows it sooner.
     pub async fn life_ended(&self, target: &TargetEntry) {
         loop {
             let changed = self.changed.notified();
--- a/crates/ryetide-gateway/src/gateway_metrics.rs
+++ b/crates/ryetide-gateway/src/gateway_metrics.rs
@@ -14,8 +14,8 @@
     units::TierRank,
 };
 
-/// The upper bounds of the histograms' buckets, in seconds. They range from the latency between data
-/// centres to the longest usual deadlines.
+/// The upper bounds of the histograms' buckets, in seconds. They range from the latency between
+/// data centres to the longest usual deadlines.
 const BUCKETS: [f64; 14] =
     [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 30.0];
 
--- a/crates/ryetide-gateway/src/gateway_text.rs
+++ b/crates/ryetide-gateway/src/gateway_text.rs
@@ -57,7 +57,8 @@
     ///
     /// # Errors
     ///
-    /// Returns every validation error, each with its path, the value found and the permitted values.
+    /// Returns every validation error, each with its path, the value found and the permitted
+    /// values.
     pub fn parse(text: &str) -> Result<Self, TextFaults> {
         text::read_text(text, read_root)
     }
--- a/crates/ryetide-gateway/src/lib.rs
+++ b/crates/ryetide-gateway/src/lib.rs
@@ -1,8 +1,9 @@
 //! The HTTP gateway of an entry VM.
 //!
-//! The route that matches the host and path of a request determines the service, whether the request
-//! may be retried, its timeout and the organisation whose quota it uses. The gateway selects a target,
-//! sends the request at most as often as the route permits, and forwards the answer to the caller.
+//! The route that matches the host and path of a request determines the service, whether the
+//! request may be retried, its timeout and the organisation whose quota it uses. The gateway
+//! selects a target, sends the request at most as often as the route permits, and forwards the
+//! answer to the caller.
 //!
 //! The decisions are made in [`ryetide_core`], among others in [`ryetide_core::route`] and
 //! [`ryetide_core::scheduler`]. This crate does the I/O, on a single thread: its tasks share one
--- a/crates/ryetide-gateway/src/main.rs
+++ b/crates/ryetide-gateway/src/main.rs
@@ -1,7 +1,7 @@
 //! A gateway that runs without a platform and reads its routes and targets from a file.
 //!
-//! Exit codes: 0 after a normal stop, 1 when the gateway failed, 2 for wrong usage, 3 when the settings
-//! are invalid.
+//! Exit codes: 0 after a normal stop, 1 when the gateway failed, 2 for wrong usage, 3 when the
+//! settings are invalid.
 
 use std::{fs, path::PathBuf, process::ExitCode};
 
@@ -22,8 +22,8 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Runs a gateway until SIGTERM or SIGINT. Exit codes: 0 everything ended, 1 failed, 2 wrong
-        /// usage, 3 the settings are at fault.
+        /// Runs a gateway until SIGTERM or SIGINT. Exit codes: 0 everything ended, 1 failed, 2
+        /// wrong usage, 3 the settings are at fault.
         cmd ryetide-gateway {
             /// The settings file.
             required settings: PathBuf
--- a/crates/ryetide-gateway/src/peer_link.rs
+++ b/crates/ryetide-gateway/src/peer_link.rs
@@ -1,15 +1,15 @@
 //! Messages to and from the other entry VMs: digests, and changes of the store's tables.
 //!
-//! A message is one UDP datagram: a keyed hash followed by the encoded message that it covers. Each VM
-//! generates a random key at its first start and publishes it where only the VMs of the deployment can
-//! read it, so nobody else can forge a message, and operators have no keys to distribute. A restarted VM
-//! uses the key that it finds there. Datagrams need no connection to each of many peers, and a lost
-//! digest is superseded by the next one.
+//! A message is one UDP datagram: a keyed hash followed by the encoded message that it covers. Each
+//! VM generates a random key at its first start and publishes it where only the VMs of the
+//! deployment can read it, so nobody else can forge a message, and operators have no keys to
+//! distribute. A restarted VM uses the key that it finds there. Datagrams need no connection to
+//! each of many peers, and a lost digest is superseded by the next one.
 //!
-//! During an upgrade of the fleet, VMs of two releases exchange messages. A release may therefore only
-//! append fields to a digest, and zero bytes must decode as the empty value of such a field: an older VM
-//! ignores trailing bytes, and a newer VM reads missing ones as zeros. Any other change of the encoding
-//! breaks the exchange.
+//! During an upgrade of the fleet, VMs of two releases exchange messages. A release may therefore
+//! only append fields to a digest, and zero bytes must decode as the empty value of such a field:
+//! an older VM ignores trailing bytes, and a newer VM reads missing ones as zeros. Any other change
+//! of the encoding breaks the exchange.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -46,11 +46,11 @@
     Digest(LoadDigest),
     /// A change of a table that the sender received from the store.
     Change(RelayedChange),
-    /// The sender's load digest, which the receiver relays: a brief digest to all VMs of the receiver's
-    /// data centre, others to the VMs of its cell.
+    /// The sender's load digest, which the receiver relays: a brief digest to all VMs of the
+    /// receiver's data centre, others to the VMs of its cell.
     PassOn(LoadDigest),
-    /// Relayed datagrams, each a [`PeerMessage::PassOn`] that still carries the hash of its original
-    /// sender.
+    /// Relayed datagrams, each a [`PeerMessage::PassOn`] that still carries the hash of its
+    /// original sender.
     PassedOn(Vec<Bytes>),
 }
 
@@ -109,8 +109,8 @@
     let secret = secret_of(&from).ok_or_else(|| DatagramFault::Unlisted(from.clone()))?;
     let key = hmac::Key::new(hmac::HMAC_SHA256, &secret);
     let expected = hmac::sign(&key, body);
-    // The comparison need not run in constant time: the hash protects only soft state between VMs of
-    // one deployment, and timing reveals no more than the hash of the sender's own bytes.
+    // The comparison need not run in constant time: the hash protects only soft state between VMs
+    // of one deployment, and timing reveals no more than the hash of the sender's own bytes.
     if expected.as_ref()[..TAG_LENGTH] != *tag {
         return Err(DatagramFault::Forged(from));
     }
@@ -162,8 +162,8 @@
             }
         };
         for peer in peers {
-            // A message is lost when the send buffer is full or the peer is unreachable; the next digest
-            // supersedes it.
+            // A message is lost when the send buffer is full or the peer is unreachable; the next
+            // digest supersedes it.
             if let Err(error) = self.socket.try_send_to(&datagram, peer.address) {
                 tracing::debug!(event = "message-unsent", peer = %peer.name, reason = %error);
             }
@@ -219,8 +219,8 @@
     // A peer that has not noticed yet that the store was restored from a copy reports positions in
     // the old era, so its watch report is ignored.
     digest.watch = digest.watch.filter(is_in_era);
-    // Watching VMs of other cells relay no changes to this VM and may know of a change before those of
-    // this cell do, so their reports are not used here.
+    // Watching VMs of other cells relay no changes to this VM and may know of a change before those
+    // of this cell do, so their reports are not used here.
     let is_cell_peer = gateway.hub().peek(|scheduler| scheduler.is_cell_peer(&from));
     if let Some(report) = digest.watch.as_ref().filter(|_| is_cell_peer) {
         gateway.relay().note_peer(report);
@@ -230,8 +230,8 @@
     gateway.hub().with(|scheduler, now| scheduler.apply_digest(now, envelope));
 }
 
-/// Handles a datagram that another VM has relayed. It is verified with the key of its original sender
-/// and is not relayed again.
+/// Handles a datagram that another VM has relayed. It is verified with the key of its original
+/// sender and is not relayed again.
 fn handle_relayed(gateway: &Gateway, datagram: &[u8]) {
     match open_listed(gateway, datagram) {
         Ok(PeerEnvelope { from, message: PeerMessage::PassOn(digest) }) => {
--- a/crates/ryetide-gateway/src/ports.rs
+++ b/crates/ryetide-gateway/src/ports.rs
@@ -1,7 +1,7 @@
 //! The interface between the gateway and a platform.
 //!
-//! The gateway itself has no platform's names built in. An adapter supplies the header names, reads the
-//! size of a request from its headers, and supplies routes, targets and peers.
+//! The gateway itself has no platform's names built in. An adapter supplies the header names, reads
+//! the size of a request from its headers, and supplies routes, targets and peers.
 
 use std::{cell::Cell, net, rc::Rc, sync::Arc, time::Duration};
 
@@ -77,8 +77,8 @@
     pub signature: HeaderName,
     /// Present in every answer of a target that is leaving.
     pub leaving: HeaderName,
-    /// The requests per second that a target accepts from all VMs together, in each of its answers while
-    /// it limits them.
+    /// The requests per second that a target accepts from all VMs together, in each of its answers
+    /// while it limits them.
     pub limit: HeaderName,
     /// The id of the last event of a stream that was received.
     pub last_event: HeaderName,
@@ -105,8 +105,8 @@
         self.output_hint.or(self.output_limit).unwrap_or(ASSUMED_OUTPUT)
     }
 
-    /// Returns the number of tokens that the request counts against a quota, if its headers state both
-    /// the prompt and the output limit.
+    /// Returns the number of tokens that the request counts against a quota, if its headers state
+    /// both the prompt and the output limit.
     pub fn quota_tokens(&self) -> Option<u64> {
         Some(self.prompt?.0 + self.output_limit?.0)
     }
@@ -156,8 +156,8 @@
 pub enum FleetUpdate {
     /// A validated version of the routes.
     Routes(Arc<RouteTable>),
-    /// Changes of targets, and the number that their source gives to the newest change; 0 if it gives
-    /// none.
+    /// Changes of targets, and the number that their source gives to the newest change; 0 if it
+    /// gives none.
     Targets(RegistryUpdate, u64),
     /// All changes of targets up to this number of their source have been received.
     TargetsReached(u64),
--- a/crates/ryetide-gateway/src/quarantine_keeper.rs
+++ b/crates/ryetide-gateway/src/quarantine_keeper.rs
@@ -1,5 +1,5 @@
-//! The background task for quarantines: expires them, logs when they begin and end, and passes them to
-//! the feed to be stored, so that they survive a restart of all VMs.
+//! The background task for quarantines: expires them, logs when they begin and end, and passes them
+//! to the feed to be stored, so that they survive a restart of all VMs.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,8 +19,8 @@
 /// The interval at which quarantines are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// How much later than stored the last attempt at a request must be for its quarantine to be stored
-/// again. Without this, a quarantine would count as expired in the store while callers still retry the
-/// request.
+/// again. Without this, a quarantine would count as expired in the store while callers still retry
+/// the request.
 const REWRITE_INTERVAL: Duration = Duration::from_secs(QUARANTINE_TTL.as_secs() / 2);
 
 /// Expires, logs and stores the quarantines of one VM.
@@ -70,8 +70,8 @@
     }
 }
 
-/// Adds the quarantines that VMs have stored, including those that an earlier incarnation of this VM
-/// stored.
+/// Adds the quarantines that VMs have stored, including those that an earlier incarnation of this
+/// VM stored.
 pub fn take_kept(gateway: &Gateway, own: &VmName, listed: &[PeerEntry]) {
     let now = gateway.hub().clock().now();
     let now_ms = unix_time::millis();
@@ -102,8 +102,8 @@
     }
 }
 
-/// Converts a stored quarantine to a report. The clocks of two VMs may differ by seconds, which is short
-/// compared with the duration of a quarantine.
+/// Converts a stored quarantine to a report. The clocks of two VMs may differ by seconds, which is
+/// short compared with the duration of a quarantine.
 fn to_report(stored: &KeptQuarantine, now_ms: u64) -> QuarantineReport {
     let age = |at_ms: u64| u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
     let (age_ms, asked_ms) = (age(stored.since_ms), age(stored.asked_ms));
--- a/crates/ryetide-gateway/src/rollout_keeper.rs
+++ b/crates/ryetide-gateway/src/rollout_keeper.rs
@@ -1,5 +1,5 @@
-//! The background task for rollout orders: periodically evaluates them, logs and sends state changes at
-//! once, and passes duties at the operators' rows to the feed.
+//! The background task for rollout orders: periodically evaluates them, logs and sends state
+//! changes at once, and passes duties at the operators' rows to the feed.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,8 +22,8 @@
 }
 
 impl RolloutKeeper {
-    /// Creates an instance, and the receiver through which the feed learns of duties at the operators'
-    /// rows.
+    /// Creates an instance, and the receiver through which the feed learns of duties at the
+    /// operators' rows.
     pub fn new() -> (Self, watch::Receiver<Vec<RolloutDuty>>) {
         let (duties, receiver) = watch::channel(Vec::new());
         (Self { duties }, receiver)
@@ -56,8 +56,9 @@
             }
         });
         if !changes.is_empty() {
-            // Peers must learn of the change at once: a version that failed its trial must get no more
-            // requests at any VM, and a VM that waits to write the operators' row need not do so.
+            // Peers must learn of the change at once: a version that failed its trial must get no
+            // more requests at any VM, and a VM that waits to write the operators' row need not do
+            // so.
             fleet_duties::tell_mates(gateway, link, false);
             fleet_duties::tell_others(gateway, link, false);
         }
--- a/crates/ryetide-gateway/src/rollout_rows.rs
+++ b/crates/ryetide-gateway/src/rollout_rows.rs
@@ -1,8 +1,8 @@
 //! Reads and writes the store rows that report the status of rollout orders to operators.
 //!
-//! Each write is conditional on the row version that was read. If two VMs decide differently, the write
-//! of the second fails; it reads the row again and adopts the result in it. A row that is older than the
-//! order belongs to an earlier order.
+//! Each write is conditional on the row version that was read. If two VMs decide differently, the
+//! write of the second fails; it reads the row again and adopts the result in it. A row that is
+//! older than the order belongs to an earlier order.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,14 +22,14 @@
 
 /// The timeout of a call to the store.
 const CALL_LIMIT: Duration = Duration::from_millis(1_500);
-/// The pause before pending duties are performed again: those that failed, and those whose result the
-/// scheduler has not processed yet.
+/// The pause before pending duties are performed again: those that failed, and those whose result
+/// the scheduler has not processed yet.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 /// The number of attempts to write a row that other VMs write at the same time.
 const WRITE_ATTEMPTS: u32 = 4;
 
-/// The state of an order that must survive the loss of all VMs: when it was first seen, from which its
-/// deadline follows, and whether the version passed its trial.
+/// The state of an order that must survive the loss of all VMs: when it was first seen, from which
+/// its deadline follows, and whether the version passed its trial.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 struct OrderNote {
     number: OrderNumber,
@@ -81,8 +81,8 @@
                 for duty in &duties {
                     self.perform(&mut *statuses, &mut *notes, duty).await;
                 }
-                // A change of the duties ends the pause early; an error means that the gateway is shutting
-                // down, which is checked below.
+                // A change of the duties ends the pause early; an error means that the gateway is
+                // shutting down, which is checked below.
                 let _ = time::timeout(RETRY_PAUSE, self.channels.duties.changed()).await;
                 if self.channels.updates.is_closed() {
                     return;
@@ -141,8 +141,8 @@
         Ok(RolloutReport { age: Some(note.age()), passed: true, ..report })
     }
 
-    /// Returns the stored note of an order. Writes one if there is none for this order, or if `passed` is
-    /// set and the stored note does not say so yet.
+    /// Returns the stored note of an order. Writes one if there is none for this order, or if
+    /// `passed` is set and the stored note does not say so yet.
     async fn note(
         &self,
         notes: &mut dyn StoreTable,
@@ -201,8 +201,8 @@
         Err(DutyFault::Contended)
     }
 
-    /// Returns the status of an order in its row, or `None` if the row was written before the order or
-    /// cannot be decoded.
+    /// Returns the status of an order in its row, or `None` if the row was written before the order
+    /// or cannot be decoded.
     fn status_of(&self, row: &TableRow, order: &RolloutOrder) -> Option<RolloutStatus> {
         if row.version <= order.number.0 {
             return None;
--- a/crates/ryetide-gateway/src/status_port.rs
+++ b/crates/ryetide-gateway/src/status_port.rs
@@ -16,8 +16,8 @@
 pub const METRICS_PATH: &str = "/metrics";
 /// The pause after accepting a connection has failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The longest duration of a connection to this port; load balancers and scrapers send few requests on
-/// each.
+/// The longest duration of a connection to this port; load balancers and scrapers send few requests
+/// on each.
 const CONNECTION_LIMIT: Duration = Duration::from_secs(60);
 
 /// Serves the port until the task is cancelled.
--- a/crates/ryetide-gateway/tests/own_text.rs
+++ b/crates/ryetide-gateway/tests/own_text.rs
@@ -133,8 +133,8 @@
     std::fs::rename(&temporary, path).expect("the file is replaced");
 }
 
-/// Link speeds are parsed and validated. They matter because a VM with a slow link is not selected to
-/// relay digests.
+/// Link speeds are parsed and validated. They matter because a VM with a slow link is not selected
+/// to relay digests.
 #[test]
 fn link_speeds_are_parsed_and_validated() {
     let text = |own: &str, peer: &str| {
@@ -153,8 +153,8 @@
     assert!(faults.contains("link") && faults.contains('0'), "{faults}");
 }
 
-/// A version that the routes file orders and whose target fails is rolled back: the log shows it, few
-/// callers are affected, and its target receives no more requests.
+/// A version that the routes file orders and whose target fails is rolled back: the log shows it,
+/// few callers are affected, and its target receives no more requests.
 #[test]
 fn a_failing_version_ordered_in_the_routes_file_is_rolled_back() {
     let (callers, status, peers) = (free_address(), free_address(), free_address());
--- a/crates/ryetide-gateway/tests/releases.rs
+++ b/crates/ryetide-gateway/tests/releases.rs
@@ -86,7 +86,8 @@
     assert_eq!(read, earlier());
 }
 
-/// Limits are the last field of a digest. A release that does not know them ignores the trailing bytes.
+/// Limits are the last field of a digest. A release that does not know them ignores the trailing
+/// bytes.
 #[test]
 fn limits_are_decoded_by_this_release_and_ignored_by_the_previous_one() {
     let report = LimitReport { target: TargetKey(7), rate: Some(RequestRate(1_900)), age_ms: 40 };
@@ -102,8 +103,8 @@
     assert_eq!(earlier.from.as_str(), "e1");
 }
 
-/// A truncated datagram must be rejected, although a message of an earlier release is shorter too and
-/// is padded with zeros.
+/// A truncated datagram must be rejected, although a message of an earlier release is shorter too
+/// and is padded with zeros.
 #[test]
 fn a_truncated_message_is_rejected() {
     let digest = LoadDigest { spent: vec![(OrganisationKey(1), 700)], ..LoadDigest::default() };
