--- a/crates/ryetide-gateway/src/main.rs
+++ b/crates/ryetide-gateway/src/main.rs
@@ -22,8 +22,8 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Runs a gateway until SIGTERM or SIGINT. Exit codes: 0 everything ended, 1 failed, 2
-        /// wrong usage, 3 the settings are at fault.
+        /// Runs a gateway until SIGTERM or SIGINT. Exit codes: 0 everything ended, 1 failed, 2 wrong
+        /// usage, 3 the settings are at fault.
         cmd ryetide-gateway {
             /// The settings file.
             required settings: PathBuf
