--- a/crates/ryetide-gateway/src/exchange.rs
+++ b/crates/ryetide-gateway/src/exchange.rs
@@ -326,7 +326,7 @@
     /// Sends the request to one target and waits for the head of the answer.
     async fn send(&mut self, target: &TargetEntry, last_event: Option<&str>) -> SendEnd {
         let choice =
-            if self.is_repeatable() { ConnectionChoice::Kept } else { ConnectionChoice::Fresh };
+            if self.is_repeatable() { ConnectionChoice::Pooled } else { ConnectionChoice::New };
         let mut connection = match self.gateway.connect(target, choice).await {
             Ok(connection) => connection,
             Err(fault) => {
@@ -367,7 +367,7 @@
             Err(_) if until == timeout => return SendEnd::TimedOut,
             Err(_) => return SendEnd::Lost(RunFault::Silent),
             Ok(Err(fault)) => {
-                self.gateway.log().lost(&self.log_id(), target, &fault, connection.is_kept());
+                self.gateway.log().lost(&self.log_id(), target, &fault, connection.is_pooled());
                 return SendEnd::Lost(RunFault::Broken);
             }
             Ok(Ok(response)) => response,
--- a/crates/ryetide-gateway/src/relay_fault.rs
+++ b/crates/ryetide-gateway/src/relay_fault.rs
@@ -5,7 +5,7 @@
 #[strum(serialize_all = "kebab-case")]
 pub enum RelayFault {
     /// The target's connection or event stream broke.
-    #[error("the connection to the target broke")]
+    #[error("the stream from the target broke")]
     Broken,
     /// No event was received within the timeout.
     #[error("the target sent no event in time")]
--- a/crates/ryetide-gateway/src/target_pool.rs
+++ b/crates/ryetide-gateway/src/target_pool.rs
@@ -63,7 +63,7 @@
 pub struct TargetConnection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    kept: bool,
+    pooled: bool,
 }
 
 impl Drop for TargetConnection {
@@ -87,8 +87,8 @@
     }
 
     /// Returns whether the connection was taken from the pool.
-    pub fn is_kept(&self) -> bool {
-        self.kept
+    pub fn is_pooled(&self) -> bool {
+        self.pooled
     }
 }
 
@@ -101,9 +101,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConnectionChoice {
     /// A pooled connection, if there is one.
-    Kept,
+    Pooled,
     /// A new connection.
-    Fresh,
+    New,
 }
 
 /// Idle connections to all targets, each to one incarnation of a target.
@@ -128,7 +128,7 @@
         target: &TargetEntry,
         choice: ConnectionChoice,
     ) -> Result<TargetConnection, ConnectFault> {
-        if choice == ConnectionChoice::Kept
+        if choice == ConnectionChoice::Pooled
             && let Some(connection) = self.take_pooled(target.key())
         {
             return Ok(connection);
@@ -171,7 +171,7 @@
         let kept = all.get_mut(&target)?;
         while let Some(PooledConnection { mut connection, until }) = kept.pop() {
             if now < until && connection.sender.is_ready() {
-                connection.kept = true;
+                connection.pooled = true;
                 return Some(connection);
             }
         }
@@ -199,7 +199,7 @@
             tracing::debug!(event = "target-connection-ended", peer = %address, reason = %error);
         }
     });
-    Ok(TargetConnection { sender, task: running.abort_handle(), kept: false })
+    Ok(TargetConnection { sender, task: running.abort_handle(), pooled: false })
 }
 
 /// Sets the socket options that detect an unreachable peer. A peer that is disconnected or has lost
--- a/crates/ryetide-gateway/tests/serving/answers.rs
+++ b/crates/ryetide-gateway/tests/serving/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come whole, broken, late, doubled or not at all.
+//! Answers that are complete, broken, late, doubled or missing.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use crate::support::{self, Gateway, Message, Target, Wire};
 
-/// A target's answer has no length and ends with its connection. Reset in the middle, it is not
-/// whole: the caller must not take it for one.
+/// Guards against an incomplete answer that looks complete to the caller: the answer has no content
+/// length, and its connection is reset in the middle.
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_not_passed_on_as_whole() {
+fn an_answer_without_a_length_that_is_reset_is_not_forwarded() {
     fn script(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send(&format!("{}\r\npart of it", support::signed(&request, "200 OK"))).await;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_that_ends_is_whole() {
+fn an_answer_without_a_length_that_ends_is_complete() {
     fn script(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send(&format!("{}\r\nall of it", support::signed(&request, "200 OK"))).await;
@@ -45,8 +45,8 @@
     });
 }
 
-/// A target sends a second answer behind each answer. On a kept connection it stands where the next
-/// answer is due. The next caller must get its own answer, not that one.
+/// Guards against an answer to the wrong caller: a target sends each answer twice, so that on a
+/// pooled connection the second one arrives in place of the next request's answer.
 #[test]
 fn a_second_answer_never_reaches_the_next_caller() {
     fn script(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
@@ -68,9 +68,9 @@
     });
 }
 
-/// What is not signed by the target's program is not its answer, whatever its status says.
+/// An answer that the target's program has not signed is not forwarded, whatever its status.
 #[test]
-fn an_unsigned_success_is_not_passed_on() {
+fn an_unsigned_success_is_not_forwarded() {
     fn script(_request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi").await;
@@ -84,10 +84,10 @@
     });
 }
 
-/// A target answers 503 and says nothing of not having run the request. Passed on, the 503 would
-/// promise that it has not run, and a shop would order twice.
+/// Guards against duplicate orders: a target answers 503 without the header that says that the
+/// request did not run. Forwarded, the 503 would promise that, and a shop would order again.
 #[test]
-fn a_503_that_does_not_say_not_run_is_no_promise() {
+fn a_503_without_the_not_run_header_is_not_forwarded() {
     fn script(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send(&support::whole(&request, "503 Service Unavailable", "sorry")).await;
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_targets_own_failure_is_passed_on_as_it_is() {
+fn an_error_response_of_a_target_is_forwarded_unchanged() {
     fn script(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send(&support::whole(&request, "500 Internal Server Error", "oops")).await;
@@ -118,14 +118,14 @@
         let answer = gateway.ask("q1", "").await.expect("an answer");
         assert_eq!((answer.status(), answer.body.as_str()), (500, "oops"));
         assert_eq!(answer.header("test-signature"), Some("s1"));
-        assert_eq!(target.count(), 1, "it may run once only");
+        assert_eq!(target.count(), 1, "a once-only request is sent once");
     });
 }
 
-/// A route permits one attempt, and its target needs longer than is usual. There is nobody else to
-/// ask, so its caller waits for the answer, within the route's time.
+/// Guards against giving up a slow answer when the route permits only one attempt. The gateway
+/// waits for the answer until the route's timeout.
 #[test]
-fn a_slow_answer_is_waited_for_when_no_other_attempt_is_permitted() {
+fn a_slow_answer_is_awaited_when_no_other_attempt_is_permitted() {
     fn script(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             time::sleep(Duration::from_millis(700)).await;
@@ -141,10 +141,10 @@
     });
 }
 
-/// A target takes a request and says nothing. At the end of the route's time the caller is told so,
-/// with a status that promises nothing, and the target's connection is closed.
+/// Guards against a caller that waits longer than its route's timeout for a target that does not
+/// answer. The caller gets 504, which does not promise that the request did not run.
 #[test]
-fn a_request_is_answered_at_the_end_of_its_routes_time() {
+fn a_request_is_answered_when_its_route_times_out() {
     fn script(_request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.closed().await;
@@ -164,10 +164,10 @@
     });
 }
 
-/// A caller hangs up while its request runs. The target must learn of it: work for nobody holds a
-/// place that others wait for.
+/// Guards against slots that stay occupied after a caller has disconnected: the connection to the
+/// target must be closed, so that the target cancels the request.
 #[test]
-fn a_caller_that_leaves_ends_the_work_at_the_target() {
+fn a_request_is_cancelled_at_the_target_when_its_caller_disconnects() {
     fn script(_request: Message, wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move { Some(wire) })
     }
@@ -181,7 +181,7 @@
         }
         drop(wire);
         let left = time::Instant::now();
-        while target.hung_up.get() == 0 {
+        while target.closed.get() == 0 {
             time::sleep(Duration::from_millis(2)).await;
         }
         assert!(left.elapsed() < Duration::from_millis(400), "{:?}", left.elapsed());
--- a/crates/ryetide-gateway/tests/serving/crashes.rs
+++ b/crates/ryetide-gateway/tests/serving/crashes.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each target which begins to run it, and what runs beside it.
+//! Quarantine of a request that crashes each target that runs it, and its effect on other requests.
 
 use std::{
     cell::RefCell,
@@ -23,33 +23,35 @@
 use crate::support::{self, Gateway, Message, Wire};
 
 /// The body of the request that crashes targets.
-const DEADLY: &str = "deadly";
+const CRASHING: &str = "deadly";
 const TARGETS: usize = 4;
-/// What a gateway answers that will not send a request to any target.
+/// The body of a gateway's answer to a quarantined request.
 const REFUSAL: &str = "quarantined\n";
-/// An answer that needs no target comes within this time, many times over.
-const AT_ONCE: Duration = Duration::from_millis(200);
-/// How long a target needs to crash under the deadly request, and to answer any other.
+/// Many times longer than the gateway needs for an answer of its own.
+const OWN_ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long the crashing request runs until its target crashes.
 const CRASH_SPAN: Duration = Duration::from_millis(30);
+/// How long a target needs to answer any other request.
 const ANSWER_SPAN: Duration = Duration::from_millis(120);
-/// How long a target that has crashed is away.
-const AWAY_SPAN: Duration = Duration::from_millis(600);
-/// A VM that has started has heard the others after this time.
-const TOLD_SPAN: Duration = Duration::from_secs(1);
-/// What is permitted: no more than this many attempts that a caller makes later than this after the third crash may
-/// reach targets.
-const SETTLED_SPAN: Duration = Duration::from_secs(3);
-const PERMITTED_LATER: usize = 3;
+/// How long a crashed target is down.
+const DOWN_SPAN: Duration = Duration::from_millis(600);
+/// The time after which a new VM has received the digests of the others.
+const PROPAGATION_SPAN: Duration = Duration::from_secs(1);
+/// The time after the third crash from which the request must be quarantined.
+const DETECTION_SPAN: Duration = Duration::from_secs(3);
+/// The most attempts that may reach targets after that time.
+const MAX_LATER_ATTEMPTS: usize = 3;
 
-/// A request that came to a target.
+/// A request that was received by a target.
 #[derive(Clone, Debug)]
 struct Arrival {
     at: Instant,
     id: String,
-    deadly: bool,
+    crashing: bool,
 }
 
-/// Targets that crash under the deadly request, and come back under new names at their old addresses.
+/// Targets that crash when they run the crashing request, and restart under new names at the same
+/// addresses.
 #[derive(Default)]
 struct CrashingFleet {
     entries: RefCell<Vec<TargetEntry>>,
@@ -66,7 +68,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = listener.local_addr().expect("an address");
             fleet.entries.borrow_mut().push(support::entry(&format!("t{slot}-0"), address));
-            task::spawn_local(Rc::clone(&fleet).keep(slot, address, listener));
+            task::spawn_local(Rc::clone(&fleet).run_target(slot, address, listener));
         }
         let entries = fleet.entries.borrow().clone();
         for gateway in gateways {
@@ -75,29 +77,30 @@
         fleet
     }
 
-    /// Runs the target of one address, one life after the other.
-    async fn keep(self: Rc<Self>, slot: usize, address: SocketAddr, first: TcpListener) {
+    /// Runs the target of one address and restarts it after each crash.
+    async fn run_target(self: Rc<Self>, slot: usize, address: SocketAddr, first: TcpListener) {
         let mut listener = first;
-        for life in 1.. {
-            self.live(listener).await;
+        for incarnation in 1.. {
+            self.serve_until_crash(listener).await;
             self.crashes.borrow_mut().push(Instant::now());
-            time::sleep(AWAY_SPAN).await;
+            time::sleep(DOWN_SPAN).await;
             listener = TcpListener::bind(address).await.expect("the port is free again");
-            self.entries.borrow_mut()[slot] = support::entry(&format!("t{slot}-{life}"), address);
-            self.tell().await;
+            self.entries.borrow_mut()[slot] =
+                support::entry(&format!("t{slot}-{incarnation}"), address);
+            self.send_targets().await;
         }
     }
 
-    async fn tell(&self) {
+    async fn send_targets(&self) {
         let (entries, gateways) = (self.entries.borrow().clone(), self.gateways.borrow().clone());
         for gateway in gateways {
             let update = RegistryUpdate::whole(entries.clone());
-            gateway.tell(FleetUpdate::Targets(update, 0)).await;
+            gateway.send_update(FleetUpdate::Targets(update, 0)).await;
         }
     }
 
-    /// Serves until the deadly request has come; all connections then break.
-    async fn live(self: &Rc<Self>, listener: TcpListener) {
+    /// Serves until the crashing request has run; then all connections break.
+    async fn serve_until_crash(self: &Rc<Self>, listener: TcpListener) {
         let mut connections = JoinSet::new();
         loop {
             tokio::select! {
@@ -112,11 +115,11 @@
     /// Serves one connection; returns whether the target has crashed.
     async fn serve(self: Rc<Self>, mut wire: Wire) -> bool {
         while let Some(message) = wire.read_message().await {
-            let deadly = message.body == DEADLY;
+            let crashing = message.body == CRASHING;
             let id = message.header("test-id").unwrap_or_default().to_owned();
-            self.arrivals.borrow_mut().push(Arrival { at: Instant::now(), id, deadly });
-            time::sleep(if deadly { CRASH_SPAN } else { ANSWER_SPAN }).await;
-            if deadly {
+            self.arrivals.borrow_mut().push(Arrival { at: Instant::now(), id, crashing });
+            time::sleep(if crashing { CRASH_SPAN } else { ANSWER_SPAN }).await;
+            if crashing {
                 return true;
             }
             wire.send(&support::whole(&message, "200 OK", "done")).await;
@@ -129,10 +132,10 @@
         *self.crashes.borrow().get(2).expect("three crashes")
     }
 
-    /// Returns the deadly request's attempts that came to targets after `from`, by id.
-    fn deadly_after(&self, from: Instant) -> Vec<String> {
+    /// Returns the ids of the attempts of the crashing request that reached targets after `from`.
+    fn crashing_after(&self, from: Instant) -> Vec<String> {
         let arrivals = self.arrivals.borrow();
-        let later = arrivals.iter().filter(|arrival| arrival.deadly && arrival.at > from);
+        let later = arrivals.iter().filter(|arrival| arrival.crashing && arrival.at > from);
         let mut ids: Vec<String> = later.map(|arrival| arrival.id.clone()).collect();
         ids.dedup();
         ids
@@ -147,7 +150,7 @@
 async fn start(name: &str) -> Rc<Gateway> {
     let gateway = Rc::new(Gateway::start_named(name).await);
     let table = support::table(1, route(), Vec::new());
-    gateway.tell(FleetUpdate::Routes(Arc::new(table))).await;
+    gateway.send_update(FleetUpdate::Routes(Arc::new(table))).await;
     gateway
 }
 
@@ -157,7 +160,7 @@
     gateways
 }
 
-/// Asks the gateways in turn with one body until `until`, and returns the answers.
+/// Sends requests with one body to the gateways in turn until `until`, and returns the answers.
 async fn repeat(
     gateways: &[Rc<Gateway>],
     name: &str,
@@ -176,81 +179,83 @@
     answers
 }
 
-/// Asks with the deadly request until a gateway refuses it; returns that answer.
+/// Sends the crashing request until a gateway refuses it; returns that answer.
 async fn until_refused(gateways: &[Rc<Gateway>]) -> Message {
     for (count, gateway) in gateways.iter().cycle().enumerate() {
-        let answer = gateway.ask_with(&format!("deadly{count}"), "", DEADLY).await;
-        let answer = answer.expect("each attempt gets its final answer");
+        let answer = gateway.ask_with(&format!("deadly{count}"), "", CRASHING).await;
+        let answer = answer.expect("each attempt is answered");
         if answer.body == REFUSAL {
             return answer;
         }
         time::sleep(Duration::from_millis(50)).await;
     }
-    unreachable!("the gateways are asked until one refuses")
+    unreachable!("the loop ends only when a gateway refuses the request")
 }
 
-/// A caller's request crashes each target that begins to run it. It comes again and again, under new ids and at either
-/// of two VMs, and takes targets away from everybody for as long as it does: one after the other crashes, with all that
-/// runs there. Nothing tied one attempt to the next: the lines of the VMs show the same print under each id, and each of them
-/// placed like any other request.
+/// Guards against a request that crashes one target after the other, together with all other
+/// requests that run there. It is repeated under new ids at two VMs, so only its fingerprint
+/// connects the attempts.
 #[test]
-fn a_request_that_crashes_targets_is_soon_sent_to_none() {
+fn a_request_that_crashes_targets_is_quarantined() {
     support::run(async {
         let gateways = two_gateways().await;
         let fleet = CrashingFleet::start(&gateways).await;
         let until = Instant::now() + Duration::from_secs(6);
         let pause = Duration::from_millis(70);
-        let answers = repeat(&gateways, "deadly", DEADLY, pause, until).await;
-        let later = fleet.deadly_after(fleet.third_crash() + SETTLED_SPAN);
-        assert!(later.len() <= PERMITTED_LATER, "{} attempts more: {later:?}", later.len());
-        assert!(answers.iter().all(Option::is_some), "each attempt gets its final answer");
+        let answers = repeat(&gateways, "deadly", CRASHING, pause, until).await;
+        let later = fleet.crashing_after(fleet.third_crash() + DETECTION_SPAN);
+        assert!(later.len() <= MAX_LATER_ATTEMPTS, "{} later attempts: {later:?}", later.len());
+        assert!(answers.iter().all(Option::is_some), "each attempt is answered");
     });
 }
 
-/// It is told at once that it will not run, and when it might: the VM holds nobody back who asks in vain.
+/// Guards against a caller that waits in vain: a quarantined request is refused at once, with a
+/// retry delay.
 #[test]
-fn its_caller_gets_the_final_answer_at_once() {
+fn a_quarantined_request_is_refused_at_once() {
     support::run(async {
         let gateways = two_gateways().await;
         let fleet = CrashingFleet::start(&gateways).await;
         until_refused(&gateways).await;
-        let arrived = fleet.deadly_after(fleet.third_crash()).len();
+        let arrived = fleet.crashing_after(fleet.third_crash()).len();
         let asked = Instant::now();
-        let answer = gateways[0].ask_with("again", "", DEADLY).await.expect("an answer");
-        assert!(asked.elapsed() < AT_ONCE);
+        let answer = gateways[0].ask_with("again", "", CRASHING).await.expect("an answer");
+        assert!(asked.elapsed() < OWN_ANSWER_TIMEOUT);
         assert_eq!((answer.status(), answer.body.as_str()), (503, REFUSAL));
         let retry: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
         assert!(retry >= 60.0, "it would be refused again after {retry} s");
-        assert_eq!(fleet.deadly_after(fleet.third_crash()).len(), arrived);
+        assert_eq!(fleet.crashing_after(fleet.third_crash()).len(), arrived);
     });
 }
 
-/// Other callers' requests run beside it, break off with one target after the other and come again. When the deadly one is
-/// found out, each of them is answered, among them those that were there at three crashes and more.
+/// Guards against quarantining requests that only ran on the crashed targets at the same time. They
+/// are retried, and answered once the crashing request is quarantined, even those that were present
+/// at three or more crashes.
 #[test]
-fn what_ran_beside_it_is_served_as_before() {
+fn other_requests_on_crashed_targets_are_not_quarantined() {
     support::run(async {
         let gateways = two_gateways().await;
         let _fleet = CrashingFleet::start(&gateways).await;
-        let beside = ["a", "b", "c", "d", "e", "f"];
+        let others = ["a", "b", "c", "d", "e", "f"];
         let until = Instant::now() + Duration::from_secs(4);
         let pause = Duration::from_millis(10);
-        let deadly = repeat(&gateways, "deadly", DEADLY, Duration::from_millis(60), until);
-        let asked = beside.map(|body| repeat(&gateways, body, body, pause, until));
-        let (_, answers) = tokio::join!(deadly, futures_util::future::join_all(asked));
+        let crashing = repeat(&gateways, "deadly", CRASHING, Duration::from_millis(60), until);
+        let asked = others.map(|body| repeat(&gateways, body, body, pause, until));
+        let (_, answers) = tokio::join!(crashing, futures_util::future::join_all(asked));
         for answer in answers.iter().flatten().flatten() {
             assert_ne!(answer.body, REFUSAL);
         }
-        for (body, gateway) in beside.iter().zip(gateways.iter().cycle()) {
+        for (body, gateway) in others.iter().zip(gateways.iter().cycle()) {
             let answer = gateway.ask_with("last", "", body).await.expect("an answer");
             assert_eq!(answer.status(), 200);
         }
     });
 }
 
-/// A VM starts when another has found it out. Its first caller brings the deadly request, and no target crashes for that.
+/// Guards against a further crash through a VM that starts after the request was quarantined at
+/// another VM.
 #[test]
-fn a_vm_that_starts_knows_what_the_others_know() {
+fn a_new_vm_learns_quarantines_from_its_peers() {
     support::run(async {
         let first = [start("e1").await];
         let fleet = CrashingFleet::start(&first).await;
@@ -260,8 +265,8 @@
         let entries = fleet.entries.borrow().clone();
         late.set_targets(entries).await;
         let crashes = fleet.crashes.borrow().len();
-        time::sleep(TOLD_SPAN).await;
-        let answer = late.ask_with("first", "", DEADLY).await.expect("an answer");
+        time::sleep(PROPAGATION_SPAN).await;
+        let answer = late.ask_with("first", "", CRASHING).await.expect("an answer");
         assert_eq!(answer.body, REFUSAL);
         assert_eq!(fleet.crashes.borrow().len(), crashes);
     });
--- a/crates/ryetide-gateway/tests/serving/digests.rs
+++ b/crates/ryetide-gateway/tests/serving/digests.rs
@@ -1,4 +1,4 @@
-//! Digests that one VM passes on to the others of its data centre.
+//! Digests that a VM relays to the others of its data centre.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 
 const OWN_SECRET: PeerSecret = [1; 32];
 const DATAGRAM_LIMIT: usize = 4_096;
-/// Longer than a datagram needs from one socket of this machine to another, many times over.
-const QUIET: Duration = Duration::from_millis(300);
+/// Many times longer than a datagram needs between two sockets of this machine.
+const DATAGRAM_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A peer of the gateway, spoken for by the test.
+/// A peer of the gateway that the test controls.
 struct TestPeer {
     entry: PeerEntry,
     socket: UdpSocket,
@@ -49,12 +49,12 @@
         datagram
     }
 
-    /// Returns the datagram that the gateway has passed on here, once one comes.
-    async fn passed_on(&self) -> Vec<u8> {
+    /// Returns the next datagram that the gateway relays to this peer.
+    async fn next_relayed(&self) -> Vec<u8> {
         let mut buffer = [0; DATAGRAM_LIMIT];
         loop {
             let (length, _) = self.socket.recv_from(&mut buffer).await.expect("an open socket");
-            // Datagrams from before the gateway knew its secret cannot be opened.
+            // Datagrams sent before the gateway received its secret cannot be opened.
             let Ok(envelope) = peer_link::open(&buffer[..length], |_| Some(OWN_SECRET)) else {
                 continue;
             };
@@ -80,47 +80,47 @@
     let gateway = Gateway::start().await;
     let near = TestPeer::new("e2", "hall-a", 2).await;
     let far = TestPeer::new("f1", "hall-b", 3).await;
-    gateway.tell(FleetUpdate::OwnSecret(OWN_SECRET)).await;
-    gateway.tell(FleetUpdate::Peers(vec![near.entry.clone(), far.entry.clone()])).await;
+    gateway.send_update(FleetUpdate::OwnSecret(OWN_SECRET)).await;
+    gateway.send_update(FleetUpdate::Peers(vec![near.entry.clone(), far.entry.clone()])).await;
     (gateway, near, far)
 }
 
-/// Sends a digest that is to be passed on until it has been: the gateway may not have taken the list of its peers
-/// yet when the first one comes.
-async fn pass_through(gateway: &Gateway, near: &TestPeer, far: &TestPeer) -> (Vec<u8>, Vec<u8>) {
+/// Sends digests to be relayed until one has been relayed: when the first one arrives, the gateway
+/// may not have applied the list of its peers yet.
+async fn relay_one(gateway: &Gateway, near: &TestPeer, far: &TestPeer) -> (Vec<u8>, Vec<u8>) {
     let mut sequence = 0;
     loop {
         sequence += 1;
         let sent = far.send(gateway, PeerMessage::PassOn(brief(sequence))).await;
-        if let Ok(passed) = time::timeout(QUIET, near.passed_on()).await {
-            return (sent, passed);
+        if let Ok(relayed) = time::timeout(DATAGRAM_TIMEOUT, near.next_relayed()).await {
+            return (sent, relayed);
         }
     }
 }
 
-/// A VM of another data centre tells one VM here of its load, to be passed on. The neighbour gets the very bytes
-/// that were sent, so that it can check whose they are, and need not believe the VM in between.
+/// Guards against relayed digests that the relaying VM could forge. A digest from another data
+/// centre is relayed byte for byte, so that the receiver can verify the sender's hash.
 #[test]
-fn a_digest_is_passed_on_as_its_sender_has_signed_it() {
+fn a_digest_is_relayed_as_its_sender_has_signed_it() {
     support::run(async {
         let (gateway, near, far) = start().await;
-        let (sent, passed) = pass_through(&gateway, &near, &far).await;
-        assert_eq!(passed, sent);
+        let (sent, relayed) = relay_one(&gateway, &near, &far).await;
+        assert_eq!(relayed, sent);
         let secret = far.entry.secret;
         let secret_of = |name: &VmName| (*name == far.entry.name).then_some(secret);
-        let envelope = peer_link::open(&passed, secret_of).expect("the sender's own hash");
+        let envelope = peer_link::open(&relayed, secret_of).expect("the sender's own hash");
         assert!(matches!(envelope.message, PeerMessage::PassOn(_)));
     });
 }
 
-/// What the neighbour has passed on here goes no further: two VMs that passed on what they get from each other
-/// would never stop.
+/// Guards against an endless loop: two VMs that relay each other's relayed digests would never
+/// stop.
 #[test]
-fn what_was_passed_on_goes_no_further() {
+fn a_relayed_digest_is_not_relayed_again() {
     support::run(async {
         let (gateway, near, far) = start().await;
-        let (sent, _) = pass_through(&gateway, &near, &far).await;
+        let (sent, _) = relay_one(&gateway, &near, &far).await;
         near.send(&gateway, PeerMessage::PassedOn(vec![sent.into()])).await;
-        assert!(time::timeout(QUIET, near.passed_on()).await.is_err());
+        assert!(time::timeout(DATAGRAM_TIMEOUT, near.next_relayed()).await.is_err());
     });
 }
--- a/crates/ryetide-gateway/tests/serving/main.rs
+++ b/crates/ryetide-gateway/tests/serving/main.rs
@@ -1,4 +1,4 @@
-//! A whole gateway between callers and scripted targets, over real sockets.
+//! Tests of a complete gateway between callers and scripted targets, over real sockets.
 
 mod answers;
 mod crashes;
--- a/crates/ryetide-gateway/tests/serving/repeats.rs
+++ b/crates/ryetide-gateway/tests/serving/repeats.rs
@@ -1,4 +1,4 @@
-//! What is sent a second time, and what never is.
+//! Which requests are retried, and which are not.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,7 +15,7 @@
     })
 }
 
-fn turning_away(_request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
+fn rejecting(_request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
     Box::pin(async move {
         let head =
             "HTTP/1.1 503 Service Unavailable\r\ntest-not-run: 1\r\ncontent-length: 0\r\n\r\n";
@@ -24,10 +24,10 @@
     })
 }
 
-/// An order reaches a target and the connection breaks before an answer. It may have run. It must not
-/// be sent again, and its caller must not be told that it has not run.
+/// Guards against running a once-only request twice: its connection breaks before an answer, so it
+/// may have run. It is not sent again, and the caller is not told that it has not run.
 #[test]
-fn work_that_may_run_once_is_not_sent_again_after_a_broken_connection() {
+fn a_once_only_request_is_not_retried_after_a_broken_connection() {
     support::run(async {
         let first = Target::start("t1", breaking).await;
         let second = Target::start("t2", breaking).await;
@@ -40,12 +40,13 @@
     });
 }
 
-/// A target that is full says that it did not run the order. Then another may.
+/// A full target answers that it did not run a once-only request, so the request may go to another
+/// one.
 #[test]
-fn work_that_a_target_did_not_run_goes_to_another() {
+fn a_request_that_a_target_did_not_run_is_sent_to_another() {
     support::run(async {
         let [first, second] = support::names_in_order(["t1", "t2"]);
-        let full = Target::start(first, turning_away).await;
+        let full = Target::start(first, rejecting).await;
         let free = Target::start(second, support::answering).await;
         let route = support::route(WorkKind::OnceOnly, 1);
         let gateway = Gateway::serving(route, &[&full, &free]).await;
@@ -57,12 +58,11 @@
     });
 }
 
-/// All targets are full, and say that they did not run the request. Its caller is told so, and when
-/// to come back.
+/// All targets answer that they did not run the request. The caller gets 503 with a retry delay.
 #[test]
-fn work_that_nobody_ran_is_answered_as_not_run() {
+fn a_request_that_no_target_ran_is_answered_as_not_run() {
     support::run(async {
-        let full = Target::start("t1", turning_away).await;
+        let full = Target::start("t1", rejecting).await;
         let mut route = support::route(WorkKind::OnceOnly, 1);
         route.timeout = Duration::from_millis(400);
         let gateway = Gateway::serving(route, &[&full]).await;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn work_that_may_be_repeated_is_tried_at_another_target() {
+fn a_repeatable_request_is_retried_at_another_target() {
     support::run(async {
         let [first, second] = support::names_in_order(["t1", "t2"]);
         let broken = Target::start(first, breaking).await;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn attempts_bound_how_often_work_is_repeated() {
+fn the_routes_attempts_limit_the_retries() {
     support::run(async {
         let all = [
             Target::start("t1", breaking).await,
@@ -103,10 +103,10 @@
     });
 }
 
-/// A target hangs with a request that may be repeated, and another is there. The caller does not wait
-/// for the first one.
+/// Guards against a caller that waits for a hanging target although its request is repeatable and
+/// another target is available.
 #[test]
-fn a_hanging_target_is_passed_over_where_another_attempt_is_permitted() {
+fn a_hanging_target_is_skipped_when_another_attempt_is_permitted() {
     fn hanging(_request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.closed().await;
@@ -124,14 +124,14 @@
             assert_eq!(gateway.ask(id, "").await.expect("an answer").status(), 200);
             assert!(asked.elapsed() < Duration::from_millis(900), "{:?}", asked.elapsed());
         }
-        assert_eq!(hung.count(), 1, "the hanging one was tried, and then passed over");
+        assert_eq!(hung.count(), 1, "the hanging target is tried once and then skipped");
     });
 }
 
-/// A target is gone and its port refuses connections. Nothing was sent, so also an order goes to the
+/// A target's port refuses connections. Nothing was sent, so even a once-only request goes to the
 /// next target.
 #[test]
-fn an_order_goes_on_to_the_next_target_when_the_first_refuses_connections() {
+fn a_once_only_request_goes_to_the_next_target_when_the_first_refuses_connections() {
     support::run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address: SocketAddr = listener.local_addr().expect("an address");
@@ -139,7 +139,7 @@
         let sound = Target::start("t2", support::answering).await;
         let gateway = Gateway::start().await;
         let table = support::table(1, support::route(WorkKind::OnceOnly, 1), Vec::new());
-        gateway.tell(ryetide_gateway::ports::FleetUpdate::Routes(table.into())).await;
+        gateway.send_update(ryetide_gateway::ports::FleetUpdate::Routes(table.into())).await;
         gateway.set_targets(vec![support::entry("t1", address), sound.entry.clone()]).await;
         for id in ["q1", "q2"] {
             assert_eq!(gateway.ask(id, "").await.expect("an answer").status(), 200);
@@ -148,10 +148,10 @@
     });
 }
 
-/// A target sends a late "not run" of an earlier request where the answer of the next one is due. Taken
-/// for the next one's, its caller would be told that a request has not run which does.
+/// Guards against telling a caller that its request has not run when it has: a late "not run"
+/// answer to an earlier request arrives in place of this request's answer.
 #[test]
-fn a_not_run_of_another_request_is_not_taken_for_this_ones() {
+fn a_not_run_answer_to_another_request_is_not_applied_to_this_one() {
     fn doubling(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send(
--- a/crates/ryetide-gateway/tests/serving/routes.rs
+++ b/crates/ryetide-gateway/tests/serving/routes.rs
@@ -1,4 +1,4 @@
-//! Who may call what, and what a target is told.
+//! Routes, API keys, quotas, and the headers that targets receive.
 
 use std::sync::Arc;
 
@@ -15,12 +15,12 @@
 }
 
 #[test]
-fn a_request_goes_out_as_it_came_but_for_what_only_the_gateway_may_say() {
+fn a_request_is_forwarded_with_the_headers_that_only_the_gateway_may_set_replaced() {
     support::run(async {
         let target = Target::start("t1", support::answering).await;
         let gateway = Gateway::start().await;
         let table = support::table(1, keyed(), vec![support::holder("asha", "key-a", None)]);
-        gateway.tell(FleetUpdate::Routes(Arc::new(table))).await;
+        gateway.send_update(FleetUpdate::Routes(Arc::new(table))).await;
         gateway.set_targets(vec![target.entry.clone()]).await;
         let headers = "test-key: key-a\r\ntest-organisation: forged\r\ntest-reserved: 1\r\n\
                        x-own: kept\r\nconnection: x-hop\r\nx-hop: 1\r\ntest-deadline: 900\r\n";
@@ -43,10 +43,10 @@
     });
 }
 
-/// Two lengths in one head are how a second request is smuggled inside the first. Whatever the
-/// gateway makes of it, a target sees at most one request, framed anew.
+/// Guards against request smuggling, in which two contradictory lengths in one head hide a second
+/// request in the body of the first.
 #[test]
-fn nothing_is_smuggled_inside_a_request() {
+fn a_request_cannot_smuggle_another_one() {
     support::run(async {
         let target = Target::start("t1", support::answering).await;
         let gateway = Gateway::serving(support::route(WorkKind::OnceOnly, 1), &[&target]).await;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_no_configuration_allows_is_told_apart_from_what_none_has_told_yet() {
+fn requests_before_the_first_configuration_get_503_and_later_ones_401_or_404() {
     support::run(async {
         let gateway = Gateway::start().await;
         assert_eq!(gateway.ready().await, 503);
@@ -76,7 +76,7 @@
         assert!(early.header("retry-after").is_some());
         let target = Target::start("t1", support::answering).await;
         let table = support::table(1, keyed(), vec![support::holder("asha", "key-a", None)]);
-        gateway.tell(FleetUpdate::Routes(Arc::new(table))).await;
+        gateway.send_update(FleetUpdate::Routes(Arc::new(table))).await;
         gateway.set_targets(vec![target.entry.clone()]).await;
         assert_eq!(gateway.ask("q2", "").await.expect("an answer").status(), 401);
         let unknown = gateway.ask("q3", "test-key: key-b\r\n").await.expect("an answer");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_higher_version_is_in_force_at_once_and_a_lower_one_never() {
+fn a_higher_revision_takes_effect_at_once_and_a_lower_one_never() {
     support::run(async {
         let target = Target::start("t1", support::answering).await;
         let gateway = Gateway::serving(support::route(WorkKind::OnceOnly, 1), &[&target]).await;
@@ -98,26 +98,28 @@
                 support::table(revision, keyed(), vec![support::holder("asha", "key-a", None)]);
             FleetUpdate::Routes(Arc::new(table))
         };
-        gateway.tell(closed(9)).await;
+        gateway.send_update(closed(9)).await;
         gateway.set_targets(vec![target.entry.clone()]).await;
         assert_eq!(gateway.ask("q1", "").await.expect("an answer").status(), 401);
         let open = support::table(5, support::route(WorkKind::OnceOnly, 1), Vec::new());
-        gateway.tell(FleetUpdate::Routes(Arc::new(open))).await;
+        gateway.send_update(FleetUpdate::Routes(Arc::new(open))).await;
         gateway.set_targets(vec![target.entry.clone()]).await;
         assert_eq!(gateway.ask("q2", "").await.expect("an answer").status(), 401);
     });
 }
 
 #[test]
-fn what_is_over_the_quota_is_refused_with_a_time_to_come_back() {
+fn a_request_over_the_quota_is_refused_with_a_retry_delay() {
     support::run(async {
         let target = Target::start("t1", support::answering).await;
         let gateway = Gateway::start().await;
         let quota =
             QuotaRule { unit: QuotaUnit::Tokens, rate: 100.0, burst: 12_000.0, default_tokens: 0 };
         let holders = vec![support::holder("asha", "key-a", Some(quota))];
-        gateway.tell(FleetUpdate::Routes(Arc::new(support::table(1, keyed(), holders)))).await;
-        gateway.tell(FleetUpdate::Peers(Vec::new())).await;
+        gateway
+            .send_update(FleetUpdate::Routes(Arc::new(support::table(1, keyed(), holders))))
+            .await;
+        gateway.send_update(FleetUpdate::Peers(Vec::new())).await;
         gateway.set_targets(vec![target.entry.clone()]).await;
         let headers = "test-key: key-a\r\ntest-prompt: 11000\r\ntest-output: 500\r\n";
         assert_eq!(gateway.ask("q1", headers).await.expect("an answer").status(), 200);
@@ -129,18 +131,21 @@
     });
 }
 
-/// An organisation has used up its burst, and units for one more request come back 25 ms later. Told to come back
-/// after 300 ms its caller would miss the objective of 200 ms; it waits instead, and is served.
+/// Guards against refusing a request whose quota units are available soon: an organisation has used
+/// up its burst, and units for one more request are refilled 25 ms later. With a retry delay of 300
+/// ms its caller would miss the objective of 200 ms, so the request waits for the units.
 #[test]
-fn a_quota_whose_units_come_back_in_time_is_waited_for() {
+fn a_request_waits_for_quota_units_that_are_refilled_in_time() {
     support::run(async {
         let target = Target::start("t1", support::answering).await;
         let gateway = Gateway::start().await;
         let quota =
             QuotaRule { unit: QuotaUnit::Requests, rate: 40.0, burst: 1.0, default_tokens: 0 };
         let holders = vec![support::holder("asha", "key-a", Some(quota))];
-        gateway.tell(FleetUpdate::Routes(Arc::new(support::table(1, keyed(), holders)))).await;
-        gateway.tell(FleetUpdate::Peers(Vec::new())).await;
+        gateway
+            .send_update(FleetUpdate::Routes(Arc::new(support::table(1, keyed(), holders))))
+            .await;
+        gateway.send_update(FleetUpdate::Peers(Vec::new())).await;
         gateway.set_targets(vec![target.entry.clone()]).await;
         for id in ["q1", "q2", "q3"] {
             let answer = gateway.ask(id, "test-key: key-a\r\n").await.expect("an answer");
@@ -151,21 +156,21 @@
 }
 
 #[test]
-fn metrics_count_what_was_served() {
+fn metrics_count_served_requests() {
     support::run(async {
         let target = Target::start("t1", support::answering).await;
         let gateway = Gateway::serving(support::route(WorkKind::OnceOnly, 1), &[&target]).await;
         gateway.ask("q1", "").await.expect("an answer");
-        let text = gateway.ask_status("/metrics").await.body;
+        let text = gateway.get_status_page("/metrics").await.body;
         assert!(text.contains("ryetide_requests_total 1"), "{text}");
         assert!(text.contains("ryetide_outcomes_total{outcome=\"answered\"} 1"), "{text}");
         assert!(text.contains("ryetide_first_seconds_bucket"), "{text}");
     });
 }
 
-/// Without an id an answer cannot be told from another request's.
+/// Without an id, the answer to a request cannot be distinguished from that to another.
 #[test]
-fn a_request_without_an_id_is_at_fault() {
+fn a_request_without_an_id_is_refused() {
     support::run(async {
         let target = Target::start("t1", support::answering).await;
         let gateway = Gateway::serving(support::route(WorkKind::OnceOnly, 1), &[&target]).await;
--- a/crates/ryetide-gateway/tests/serving/shutdown.rs
+++ b/crates/ryetide-gateway/tests/serving/shutdown.rs
@@ -1,4 +1,4 @@
-//! Stopping: nothing that was read is lost.
+//! Stopping and reloading: no request is lost.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 
 use crate::support::{self, Gateway, Message, Target, Wire};
 
-/// The balancer must stop sending callers at once, those who still come are served, and what runs is
-/// finished: a VM is replaced every few minutes at full size, and no caller may notice.
+/// Guards against requests that are lost when a VM is replaced, which happens every few minutes in
+/// a fleet of full size. A stopping gateway reports at once that it is not ready, still serves
+/// callers that connect, and finishes running requests.
 #[test]
-fn a_gateway_that_stops_serves_what_it_has_and_what_still_comes() {
+fn a_stopping_gateway_serves_running_and_new_requests() {
     fn slow(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             time::sleep(Duration::from_millis(600)).await;
@@ -27,7 +28,7 @@
         while target.count() == 0 {
             time::sleep(Duration::from_millis(2)).await;
         }
-        gateway.order(GatewayOrder::Stop).await;
+        gateway.send_command(GatewayOrder::Stop).await;
         while gateway.ready().await != 503 {
             time::sleep(Duration::from_millis(2)).await;
         }
@@ -35,18 +36,18 @@
         assert_eq!(late.status(), 200);
         assert_eq!(late.header("connection"), Some("close"));
         assert_eq!(running.read_message().await.expect("an answer").status(), 200);
-        gateway.ended().await;
+        gateway.stopped().await;
     });
 }
 
-/// The platform tells a process that its settings file has changed. Callers notice nothing.
+/// Guards against requests that fail while the settings are reloaded.
 #[test]
-fn a_gateway_that_reads_its_settings_again_serves_on() {
+fn a_gateway_serves_requests_while_it_reloads_its_settings() {
     support::run(async {
         let target = Target::start("t1", support::answering).await;
         let gateway = Gateway::serving(support::route(WorkKind::OnceOnly, 1), &[&target]).await;
         for id in ["q1", "q2", "q3"] {
-            gateway.order(GatewayOrder::Reload).await;
+            gateway.send_command(GatewayOrder::Reload).await;
             assert_eq!(gateway.ask(id, "").await.expect("an answer").status(), 200);
         }
         assert_eq!(gateway.ready().await, 200);
--- a/crates/ryetide-gateway/tests/serving/streams.rs
+++ b/crates/ryetide-gateway/tests/serving/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: passed on as they come, resumed where permitted, broken off where not.
+//! Streams: forwarded event by event; when broken, resumed if permitted and closed otherwise.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     format!("{head}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n")
 }
 
-/// Goes on after the last event that the request names, to the sixth and last.
+/// Sends the events after the request's last event id, up to the sixth and last.
 fn streaming(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
     Box::pin(async move {
         wire.send(&stream_head(&request)).await;
@@ -37,7 +37,7 @@
     })
 }
 
-/// Sends three events and half of the fourth, and breaks off.
+/// Sends three events and half of the fourth, and resets the connection.
 fn breaking(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
     Box::pin(async move {
         wire.send(&stream_head(&request)).await;
@@ -52,7 +52,7 @@
     })
 }
 
-/// Reads a chunked answer; returns its payload and whether it ended as it should.
+/// Reads a chunked answer; returns its payload and whether it is complete.
 async fn read_stream(wire: &mut Wire) -> (String, bool) {
     let mut payload = String::new();
     loop {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_stream_is_passed_on_whole() {
+fn a_stream_is_forwarded_completely() {
     support::run(async {
         let target = Target::start("t1", streaming).await;
         let gateway = Gateway::serving(support::route(ONCE, 1), &[&target]).await;
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_event_is_passed_on_before_the_next_one_comes() {
+fn an_event_is_forwarded_before_the_next_one_is_received() {
     fn waiting(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send(&stream_head(&request)).await;
@@ -111,10 +111,11 @@
     });
 }
 
-/// A target breaks off in the middle of the fourth event, and the route permits to resume. Another
-/// target goes on after the third. The caller sees one stream: every event once, none torn.
+/// Guards against lost, repeated or incomplete events when a resumable stream breaks in the middle
+/// of the fourth event. Another target resumes it after the third, and the caller receives each
+/// event once.
 #[test]
-fn a_stream_that_breaks_goes_on_at_another_target() {
+fn a_broken_stream_is_resumed_at_another_target() {
     support::run(async {
         let broken = Target::start("t1", breaking).await;
         let sound = Target::start("t2", streaming).await;
@@ -133,10 +134,11 @@
     });
 }
 
-/// A stream has run for longer than callers wait for a first event when its target breaks off. Its
-/// caller is still there: it had an event a moment ago. The stream goes on elsewhere.
+/// Guards against measuring the caller's patience from its arrival: a stream that has run for
+/// longer than that breaks shortly after an event. Its caller is still connected, so the stream is
+/// resumed.
 #[test]
-fn a_stream_that_breaks_late_goes_on_too() {
+fn a_stream_that_breaks_late_is_resumed_too() {
     fn lasting(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send(&stream_head(&request)).await;
@@ -163,10 +165,10 @@
     });
 }
 
-/// A stream that may run once only breaks off. It is sent nowhere else, and its end must not look
-/// like the end of a whole stream.
+/// Guards against a broken once-only stream that is sent to another target, or that looks complete
+/// to the caller.
 #[test]
-fn a_stream_that_may_not_be_resumed_is_broken_off() {
+fn a_broken_stream_that_may_not_be_resumed_is_closed_early() {
     support::run(async {
         let broken = Target::start("t1", breaking).await;
         let sound = Target::start("t2", streaming).await;
@@ -181,10 +183,10 @@
     });
 }
 
-/// A caller closes its connection in the middle of a stream. Its target must stop within half a
-/// second, though the stream says nothing at that moment.
+/// Guards against a stream that goes on at the target after its caller has disconnected. The target
+/// must stop within half a second, even if the stream is idle at that moment.
 #[test]
-fn a_caller_that_leaves_a_stream_ends_it_at_the_target() {
+fn a_stream_is_cancelled_at_the_target_when_its_caller_disconnects() {
     fn pausing(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send(&stream_head(&request)).await;
@@ -200,17 +202,17 @@
         assert!(wire.read_to("data: e1\n\n").await.is_some());
         drop(wire);
         let left = time::Instant::now();
-        while target.hung_up.get() == 0 {
+        while target.closed.get() == 0 {
             time::sleep(Duration::from_millis(2)).await;
         }
         assert!(left.elapsed() < Duration::from_millis(400), "{:?}", left.elapsed());
     });
 }
 
-/// A stream lasts longer than its route permits. At the end of that time it is broken off: an operator
-/// sets the time so that nobody waits longer.
+/// Guards against a stream that lasts longer than its route's timeout, the longest time for which
+/// the operator lets a caller wait. It is closed at the timeout.
 #[test]
-fn a_stream_ends_with_its_routes_time() {
+fn a_stream_is_closed_when_its_route_times_out() {
     fn endless(request: Message, mut wire: Wire) -> LocalFuture<'static, Option<Wire>> {
         Box::pin(async move {
             wire.send(&stream_head(&request)).await;
--- a/crates/ryetide-gateway/tests/serving/support.rs
+++ b/crates/ryetide-gateway/tests/serving/support.rs
@@ -1,7 +1,7 @@
-//! Scripted targets, callers that speak plain HTTP, and a gateway between them.
+//! Scripted targets, plain HTTP callers, and a gateway between them.
 //!
-//! Targets and callers read and write bytes themselves: what is tested is what happens when they do
-//! what no library would.
+//! Targets and callers read and write raw bytes, so that tests can use malformed or unusual HTTP
+//! that no library would produce.
 
 use std::{
     cell::{Cell, RefCell},
@@ -37,12 +37,12 @@
     time,
 };
 
-/// Nothing in these tests takes longer than this unless it hangs.
+/// The timeout of a test; a test that takes longer hangs.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 const HOST: &str = "desk.example";
 const SERVICE: &str = "desk";
 
-/// Runs a test on a local set, bounded in time.
+/// Runs a test on a local set, with a timeout.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -50,7 +50,7 @@
     LocalSet::new().block_on(&runtime, bounded);
 }
 
-/// A connection of which both sides are written by hand.
+/// A connection on which a test reads and writes raw bytes.
 pub struct Wire {
     stream: TcpStream,
     read: Vec<u8>,
@@ -65,7 +65,7 @@
         self.stream.write_all(text.as_bytes()).await.expect("a peer that reads");
     }
 
-    /// Reads until `end` has come, and returns everything up to and with it.
+    /// Reads until `end` and returns everything up to and including it.
     pub async fn read_to(&mut self, end: &str) -> Option<String> {
         loop {
             let found = self.read.windows(end.len()).position(|bytes| bytes == end.as_bytes());
@@ -96,7 +96,7 @@
         Some(String::from_utf8(taken).expect("text"))
     }
 
-    /// Reads a head and, where it names a length, the body that follows.
+    /// Reads a head and the body, if the head has a content length.
     pub async fn read_message(&mut self) -> Option<Message> {
         let head = self.read_to("\r\n\r\n").await?;
         let message = Message { head, body: String::new() };
@@ -111,7 +111,7 @@
         while matches!(self.stream.read(&mut piece).await, Ok(length) if length > 0) {}
     }
 
-    /// Breaks the connection off with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.stream);
         socket.set_linger(Some(Duration::ZERO)).expect("an open socket");
@@ -138,32 +138,33 @@
     }
 }
 
-/// A target that does with each request what its script says.
+/// A target that runs a script for each request.
 pub struct Target {
     pub entry: TargetEntry,
-    /// The requests that came, in order.
+    /// The requests received, in order.
     pub seen: Rc<RefCell<Vec<Message>>>,
-    /// Connections on which the gateway has hung up.
-    pub hung_up: Rc<Cell<usize>>,
+    /// The number of connections that the gateway has closed.
+    pub closed: Rc<Cell<usize>>,
 }
 
-/// Returns names so that the first is chosen among targets that are equal in all else.
+/// Orders the names so that the scheduler chooses the first among otherwise equal targets.
 pub fn names_in_order(mut names: [&'static str; 2]) -> [&'static str; 2] {
     names.sort_by_key(|name| TargetKey::of(&(*name).into()));
     names
 }
 
-/// What a target does with a request on a connection.
+/// Handles a request on a connection of a target.
 pub type Script = fn(Message, Wire) -> LocalFuture<'static, Option<Wire>>;
 
 impl Target {
-    /// Starts a target; `script` is run for each request, and gives the connection back to keep it.
+    /// Starts a target that runs `script` for each request. The script returns the connection to
+    /// keep it open.
     pub async fn start(name: &str, script: Script) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let seen = Rc::new(RefCell::new(Vec::new()));
-        let hung_up = Rc::new(Cell::new(0));
-        let (all, gone) = (Rc::clone(&seen), Rc::clone(&hung_up));
+        let closed = Rc::new(Cell::new(0));
+        let (all, gone) = (Rc::clone(&seen), Rc::clone(&closed));
         task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (all, gone) = (Rc::clone(&all), Rc::clone(&gone));
@@ -180,7 +181,7 @@
                 });
             }
         });
-        Self { entry: entry(name, address), seen, hung_up }
+        Self { entry: entry(name, address), seen, closed }
     }
 
     pub fn count(&self) -> usize {
@@ -202,13 +203,13 @@
     }
 }
 
-/// The head of a signed answer to `request`, up to where its framing is told.
+/// The head of a signed answer to `request`, without the headers that frame the body.
 pub fn signed(request: &Message, status: &str) -> String {
     let id = request.header("test-id").unwrap_or_default();
     format!("HTTP/1.1 {status}\r\ntest-id: {id}\r\ntest-signature: s1\r\n")
 }
 
-/// A whole signed answer.
+/// A complete signed answer.
 pub fn whole(request: &Message, status: &str, body: &str) -> String {
     format!("{}content-length: {}\r\n\r\n{body}", signed(request, status), body.len())
 }
@@ -271,14 +272,14 @@
 }
 
 struct TestFeed {
-    news: mpsc::Receiver<FleetUpdate>,
+    updates: mpsc::Receiver<FleetUpdate>,
 }
 
 impl FleetFeed for TestFeed {
     fn run(mut self: Box<Self>, _own: PeerEntry, line: FeedLine) -> LocalFuture<'static, ()> {
         Box::pin(async move {
-            while let Some(update) = self.news.recv().await {
-                line.updates.send(update).await.expect("a gateway that listens");
+            while let Some(update) = self.updates.recv().await {
+                line.updates.send(update).await.expect("a gateway that receives updates");
             }
             std::future::pending::<()>().await;
         })
@@ -305,20 +306,20 @@
 pub struct Gateway {
     callers: SocketAddr,
     status: SocketAddr,
-    /// Where it takes datagrams of its peers.
+    /// The address on which it receives datagrams of peers.
     pub peers: SocketAddr,
-    news: mpsc::Sender<FleetUpdate>,
-    orders: mpsc::Sender<GatewayOrder>,
-    ended: task::JoinHandle<()>,
+    updates: mpsc::Sender<FleetUpdate>,
+    commands: mpsc::Sender<GatewayOrder>,
+    stopped: task::JoinHandle<()>,
 }
 
 impl Gateway {
-    /// Starts a gateway that knows nothing yet.
+    /// Starts a gateway without routes and targets.
     pub async fn start() -> Self {
         Self::start_named("e1").await
     }
 
-    /// Starts a gateway of this name that knows nothing yet.
+    /// Starts a gateway with this name, without routes and targets.
     pub async fn start_named(name: &str) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let settings = GatewaySettings {
@@ -336,46 +337,46 @@
         let callers = sockets.callers.local_addr().expect("an address");
         let status = sockets.status.local_addr().expect("an address");
         let peers = sockets.peers.local_addr().expect("an address");
-        let (news, receiver) = mpsc::channel(16);
+        let (updates, receiver) = mpsc::channel(16);
         let parts = GatewayParts {
             settings: settings.clone(),
             source: Box::new(TestSource(settings)),
             names: names(),
             reader: Box::new(TestReader),
-            feed: Box::new(TestFeed { news: receiver }),
+            feed: Box::new(TestFeed { updates: receiver }),
         };
-        let (orders, ordered) = mpsc::channel(4);
-        let ended = task::spawn_local(async move {
-            gateway::serve(parts, sockets, ordered).await.expect("a gateway that serves");
+        let (commands, receiver) = mpsc::channel(4);
+        let stopped = task::spawn_local(async move {
+            gateway::serve(parts, sockets, receiver).await.expect("a gateway that serves");
         });
-        Self { callers, status, peers, news, orders, ended }
+        Self { callers, status, peers, updates, commands, stopped }
     }
 
-    /// Starts a gateway that serves one route by `targets`.
+    /// Starts a gateway that serves one route with `targets`.
     pub async fn serving(route: RouteRule, targets: &[&Target]) -> Self {
         let gateway = Self::start().await;
-        gateway.tell(FleetUpdate::Routes(Arc::new(table(1, route, Vec::new())))).await;
+        gateway.send_update(FleetUpdate::Routes(Arc::new(table(1, route, Vec::new())))).await;
         gateway.set_targets(targets.iter().map(|target| target.entry.clone()).collect()).await;
         gateway
     }
 
-    pub async fn tell(&self, update: FleetUpdate) {
-        self.news.send(update).await.expect("a gateway that listens");
+    pub async fn send_update(&self, update: FleetUpdate) {
+        self.updates.send(update).await.expect("a gateway that receives updates");
     }
 
     /// Sets the targets, and waits until the gateway is ready with them.
     pub async fn set_targets(&self, entries: Vec<TargetEntry>) {
-        self.tell(FleetUpdate::Targets(RegistryUpdate::whole(entries), 0)).await;
+        self.send_update(FleetUpdate::Targets(RegistryUpdate::whole(entries), 0)).await;
         while self.ready().await != 200 {
             time::sleep(Duration::from_millis(2)).await;
         }
     }
 
     pub async fn ready(&self) -> u16 {
-        self.ask_status("/ready").await.status()
+        self.get_status_page("/ready").await.status()
     }
 
-    pub async fn ask_status(&self, path: &str) -> Message {
+    pub async fn get_status_page(&self, path: &str) -> Message {
         let mut wire = Wire::new(TcpStream::connect(self.status).await.expect("a status port"));
         wire.send(&format!("GET {path} HTTP/1.1\r\nhost: e1\r\n\r\n")).await;
         wire.read_message().await.expect("an answer")
@@ -386,25 +387,25 @@
         Wire::new(TcpStream::connect(self.callers).await.expect("a callers' port"))
     }
 
-    /// Sends one request on a connection of its own and returns the answer, if a whole one came.
+    /// Sends one request on a new connection and returns the answer, if it is complete.
     pub async fn ask(&self, id: &str, headers: &str) -> Option<Message> {
         self.ask_with(id, headers, "body").await
     }
 
-    /// The same with this body.
+    /// Like [`Self::ask`], with this body.
     pub async fn ask_with(&self, id: &str, headers: &str, body: &str) -> Option<Message> {
         let mut wire = self.call().await;
         wire.send(&request("POST", id, headers, body)).await;
         wire.read_message().await
     }
 
-    pub async fn order(&self, order: GatewayOrder) {
-        self.orders.send(order).await.expect("a gateway that runs");
+    pub async fn send_command(&self, command: GatewayOrder) {
+        self.commands.send(command).await.expect("a gateway that runs");
     }
 
-    /// Waits until the gateway has ended.
-    pub async fn ended(self) {
-        self.ended.await.expect("a gateway that ends");
+    /// Waits until the gateway has stopped.
+    pub async fn stopped(self) {
+        self.stopped.await.expect("a gateway that ends");
     }
 }
 
@@ -428,11 +429,11 @@
     }
 }
 
-/// Lets two gateways know each other.
+/// Configures two gateways as peers of each other.
 pub async fn join(gateways: &[Rc<Gateway>]) {
     let peers = vec![peer("e1", &gateways[0], 1), peer("e2", &gateways[1], 2)];
     for (key, gateway) in [1, 2].into_iter().zip(gateways) {
-        gateway.tell(FleetUpdate::OwnSecret([key; 32])).await;
-        gateway.tell(FleetUpdate::Peers(peers.clone())).await;
+        gateway.send_update(FleetUpdate::OwnSecret([key; 32])).await;
+        gateway.send_update(FleetUpdate::Peers(peers.clone())).await;
     }
 }
