--- a/crates/ryetide-gateway/src/caller_listener.rs
+++ b/crates/ryetide-gateway/src/caller_listener.rs
@@ -20,7 +20,7 @@
 use crate::{
     caller_answer::{CallerResponse, OwnAnswer, OwnReason},
     caller_service,
-    exchange::CallerCall,
+    exchange::CallerRequest,
     gateway_state::Gateway,
     target_pool,
 };
@@ -106,7 +106,7 @@
     };
     match read {
         Ok((matched, body)) => {
-            let call = CallerCall { head, body, arrived };
+            let call = CallerRequest { head, body, arrived };
             caller_service::serve(Rc::clone(gateway), matched, call).await
         }
         Err(answer) => gateway.answer_own(id.as_ref(), answer),
--- a/crates/ryetide-gateway/src/caller_service.rs
+++ b/crates/ryetide-gateway/src/caller_service.rs
@@ -10,12 +10,12 @@
 };
 
 use crate::{
-    call_template,
     caller_answer::{AnswerBody, CallerResponse, OwnAnswer, OwnReason},
-    exchange::{CallerCall, DispatchEnd, Exchange},
+    exchange::{CallerRequest, DispatchEnd, Exchange},
     gateway_state::Gateway,
     relay::StreamRelay,
     relay_fault::RelayFault,
+    request_template,
     run_fault::RunFault,
     target_answer::{self, BodyFault, TargetAnswer},
 };
@@ -56,7 +56,7 @@
 pub async fn serve(
     gateway: Rc<Gateway>,
     matched: MatchedRoute,
-    call: CallerCall,
+    call: CallerRequest,
 ) -> CallerResponse {
     let id = call.head.headers.get(&gateway.names().request_id).cloned();
     let mut exchange = match Exchange::begin(&gateway, matched, call) {
@@ -110,7 +110,7 @@
         let read = tokio::select! {
             biased;
             read = reading => read,
-            () = exchange.gateway().fleet().life_ended(&answer.target) => {
+            () = exchange.gateway().fleet().incarnation_ended(&answer.target) => {
                 Ok(Err(BodyFault::TargetEnded))
             }
         };
@@ -160,7 +160,7 @@
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     let mut headers = head.headers.clone();
-    call_template::strip_connection_headers(&mut headers);
+    request_template::strip_connection_headers(&mut headers);
     *response.headers_mut() = headers;
     response
 }
--- a/crates/ryetide-gateway/src/crash_watch.rs
+++ b/crates/ryetide-gateway/src/crash_detector.rs
@@ -43,7 +43,7 @@
         if gateway.fleet().has_left(target) {
             return;
         }
-        let mut probed = gateway.crashes().probed.borrow_mut();
+        let mut probed = gateway.crash_detector().probed.borrow_mut();
         let runs = probed.entry(target.key()).or_default();
         runs.push(run);
         if runs.len() == 1 {
@@ -54,7 +54,8 @@
 
 async fn probe(gateway: Rc<Gateway>, target: TargetEntry) {
     let outcome = target_pool::open_stream(target.address).await;
-    let runs = gateway.crashes().probed.borrow_mut().remove(&target.key()).unwrap_or_default();
+    let runs =
+        gateway.crash_detector().probed.borrow_mut().remove(&target.key()).unwrap_or_default();
     let refused = io::ErrorKind::ConnectionRefused;
     match outcome {
         Err(ConnectFault::Open(error)) if error.kind() == refused => {
--- a/crates/ryetide-gateway/src/decision_log.rs
+++ b/crates/ryetide-gateway/src/decision_log.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    crash_watch::BrokenRun,
+    crash_detector::BrokenRun,
     target_pool::{ConnectFault, SendFault},
 };
 
--- a/crates/ryetide-gateway/src/exchange.rs
+++ b/crates/ryetide-gateway/src/exchange.rs
@@ -25,20 +25,20 @@
 use tokio::time::{self, Instant};
 
 use crate::{
-    call_template::{CallTemplate, DispatchParameters},
     caller_answer::{CallerResponse, OwnAnswer, OwnReason},
-    crash_watch::{BrokenRun, CrashDetector},
+    crash_detector::{BrokenRun, CrashDetector},
     decision_log::{ExchangeSpans, LogId},
     gateway_state::Gateway,
     ports::WorkSize,
+    quarantine_check::{self, QuarantineOutcome},
     quota_wait,
     relay_fault::RelayFault,
+    request_template::{DispatchParameters, RequestTemplate},
     run_fault::RunFault,
     scheduler_hub::RequestTicket,
-    standing_wait::{self, QuarantineOutcome},
     target_answer::{self, AnswerKind, TargetAnswer},
+    target_notices,
     target_pool::ConnectionChoice,
-    target_words,
 };
 
 /// The shortest time to wait for the head of an answer before a repeatable request is sent to
@@ -84,7 +84,7 @@
     ticket: RequestTicket,
     matched: MatchedRoute,
     service: ServiceName,
-    template: CallTemplate,
+    template: RequestTemplate,
     size: WorkSize,
     id: Option<HeaderValue>,
     fingerprint: RequestFingerprint,
@@ -110,7 +110,7 @@
 }
 
 /// A request as read from its caller.
-pub struct CallerCall {
+pub struct CallerRequest {
     /// The request's head.
     pub head: http::request::Parts,
     /// The request's body.
@@ -129,14 +129,14 @@
     pub fn begin(
         gateway: &Rc<Gateway>,
         matched: MatchedRoute,
-        call: CallerCall,
+        call: CallerRequest,
     ) -> Result<Self, OwnAnswer> {
-        let CallerCall { head, body, arrived } = call;
+        let CallerRequest { head, body, arrived } = call;
         let names = gateway.names();
         let size = gateway.read_size(&head.headers);
         let organisation = matched.organisation.as_ref().map(|organisation| &organisation.name);
-        let fingerprint = standing_wait::fingerprint_of(&head, &body, organisation);
-        let template = CallTemplate::new(&head, body, names, organisation).map_err(|error| {
+        let fingerprint = quarantine_check::fingerprint_of(&head, &body, organisation);
+        let template = RequestTemplate::new(&head, body, names, organisation).map_err(|error| {
             tracing::debug!(event = "request-unwritable", step = "read head", reason = %error);
             OwnAnswer::new(OwnReason::BadRequest)
         })?;
@@ -186,7 +186,8 @@
     /// Returns the gateway's own answer when the request is quarantined or its deadline passes.
     pub async fn await_quarantine_check(&self) -> Result<(), OwnAnswer> {
         let (fingerprint, until) = (self.fingerprint, self.timeout_at());
-        match standing_wait::await_decision(&self.gateway, fingerprint, &self.service, until).await
+        match quarantine_check::await_decision(&self.gateway, fingerprint, &self.service, until)
+            .await
         {
             QuarantineOutcome::MaySend => Ok(()),
             QuarantineOutcome::TimedOut => Err(OwnAnswer::new(OwnReason::TimedOut)),
@@ -367,7 +368,7 @@
         let sent = tokio::select! {
             biased;
             sent = sending => sent,
-            () = self.gateway.fleet().life_ended(target) => return SendEnd::Lost(RunFault::Restarted),
+            () = self.gateway.fleet().incarnation_ended(target) => return SendEnd::Lost(RunFault::Restarted),
         };
         let response = match sent {
             Err(_) if until == timeout => return SendEnd::TimedOut,
@@ -382,7 +383,7 @@
         let kind = target_answer::kind_of(&response, self.gateway.names(), self.id.as_ref());
         let is_answer = matches!(kind, AnswerKind::Own | AnswerKind::NotRun);
         let sent_at = is_answer.then_some(self.sent_at);
-        target_words::apply(&self.gateway, &self.log_id(), target, notice, sent_at);
+        target_notices::apply(&self.gateway, &self.log_id(), target, notice, sent_at);
         match kind {
             AnswerKind::NotRun => {
                 self.attempts -= 1;
--- a/crates/ryetide-gateway/src/fleet_duties.rs
+++ b/crates/ryetide-gateway/src/fleet_duties.rs
@@ -137,7 +137,7 @@
         let until = timer_at.map_or(digest_at, |timer_at| timer_at.min(digest_at));
         tokio::select! {
             () = time::sleep_until(until) => {}
-            () = gateway.hub().rung() => {}
+            () = gateway.hub().changed() => {}
         }
         if timer_at.is_some_and(|at| Instant::now() >= at) {
             gateway.hub().with(Scheduler::advance);
--- a/crates/ryetide-gateway/src/fleet_view.rs
+++ b/crates/ryetide-gateway/src/fleet_view.rs
@@ -94,7 +94,7 @@
     /// Whatever was sent to the earlier incarnation is lost then. If its VM lost power, the old
     /// connections are not closed, and only a probe that goes unanswered shows the failure, two to
     /// three seconds later; the entry of the new incarnation shows it sooner.
-    pub async fn life_ended(&self, target: &TargetEntry) {
+    pub async fn incarnation_ended(&self, target: &TargetEntry) {
         loop {
             let changed = self.changed.notified();
             if self.registry.borrow().is_replaced(target) {
--- a/crates/ryetide-gateway/src/gateway.rs
+++ b/crates/ryetide-gateway/src/gateway.rs
@@ -84,7 +84,7 @@
 
 /// A command to a running gateway.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum GatewayOrder {
+pub enum GatewayCommand {
     /// Drain connections and stop.
     Stop,
     /// Reload the settings.
@@ -121,7 +121,7 @@
 
 /// Turns signals of the process into commands. SIGHUP must be handled, because by default it ends
 /// the process.
-fn commands_from_signals() -> Result<mpsc::Receiver<GatewayOrder>, StepError> {
+fn commands_from_signals() -> Result<mpsc::Receiver<GatewayCommand>, StepError> {
     let listen =
         |kind| unix::signal(kind).map_err(|error| StepError::new("listen for signals", error));
     let mut terminate = listen(SignalKind::terminate())?;
@@ -131,9 +131,9 @@
     task::spawn_local(async move {
         loop {
             let command = tokio::select! {
-                _ = terminate.recv() => GatewayOrder::Stop,
-                _ = interrupt.recv() => GatewayOrder::Stop,
-                _ = hangup.recv() => GatewayOrder::Reload,
+                _ = terminate.recv() => GatewayCommand::Stop,
+                _ = interrupt.recv() => GatewayCommand::Stop,
+                _ = hangup.recv() => GatewayCommand::Reload,
             };
             // The gateway has stopped.
             if sender.send(command).await.is_err() {
@@ -153,7 +153,7 @@
 pub async fn serve(
     parts: GatewayParts,
     sockets: GatewaySockets,
-    commands: mpsc::Receiver<GatewayOrder>,
+    commands: mpsc::Receiver<GatewayCommand>,
 ) -> Result<(), StepError> {
     let GatewayParts { settings, source, names, reader, feed } = parts;
     let GatewaySockets { callers, status, peers: socket } = sockets;
@@ -245,13 +245,13 @@
 /// they may change without a command.
 async fn run_commands(
     gateway: &Gateway,
-    mut commands: mpsc::Receiver<GatewayOrder>,
+    mut commands: mpsc::Receiver<GatewayCommand>,
     source: &dyn SettingsSource,
 ) {
     loop {
         match time::timeout(SETTINGS_INTERVAL, commands.recv()).await {
-            Ok(Some(GatewayOrder::Stop) | None) => return,
-            Ok(Some(GatewayOrder::Reload)) => reload(gateway, source, true),
+            Ok(Some(GatewayCommand::Stop) | None) => return,
+            Ok(Some(GatewayCommand::Reload)) => reload(gateway, source, true),
             Err(_) => reload(gateway, source, false),
         }
     }
--- a/crates/ryetide-gateway/src/gateway_state.rs
+++ b/crates/ryetide-gateway/src/gateway_state.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     caller_answer::{self, CallerResponse, OwnAnswer},
-    crash_watch::CrashDetector,
+    crash_detector::CrashDetector,
     decision_log::DecisionLog,
     feed_relay::FeedRelay,
     fleet_view::FleetView,
@@ -43,7 +43,7 @@
     peers: RefCell<BTreeMap<VmName, PeerEntry>>,
     /// Estimates how long callers of each route have waited, by route name.
     deadline_trackers: RefCell<HashMap<String, DeadlineTracker>>,
-    crashes: CrashDetector,
+    crash_detector: CrashDetector,
     metrics: GatewayMetrics,
     log: DecisionLog,
     draining: Cell<bool>,
@@ -70,7 +70,7 @@
             relay,
             peers: RefCell::default(),
             deadline_trackers: RefCell::default(),
-            crashes: CrashDetector::default(),
+            crash_detector: CrashDetector::default(),
             metrics: GatewayMetrics::default(),
             log: DecisionLog::new(settings.name.clone()),
             draining: Cell::new(false),
@@ -128,8 +128,8 @@
     }
 
     /// Returns the detector of crashed targets.
-    pub fn crashes(&self) -> &CrashDetector {
-        &self.crashes
+    pub fn crash_detector(&self) -> &CrashDetector {
+        &self.crash_detector
     }
 
     /// Returns the metrics.
--- a/crates/ryetide-gateway/src/lib.rs
+++ b/crates/ryetide-gateway/src/lib.rs
@@ -18,8 +18,8 @@
 //! | [`ports`] | the interface to a platform |
 //! | [`gateway`], [`gateway_state`], [`fleet_duties`] | start and shutdown of a gateway, the state that its tasks share, background tasks |
 //! | [`caller_listener`], [`caller_service`], [`exchange`], [`quota_wait`], [`caller_answer`] | the connections and requests of callers |
-//! | [`call_template`], [`target_pool`], [`target_answer`], [`relay`], [`relay_fault`], [`run_fault`], [`event_scanner`], [`target_words`] | requests to targets and their answers |
-//! | [`crash_watch`], [`standing_wait`], [`quarantine_keeper`] | requests that crash targets |
+//! | [`request_template`], [`target_pool`], [`target_answer`], [`relay`], [`relay_fault`], [`run_fault`], [`event_scanner`], [`target_notices`] | requests to targets and their answers |
+//! | [`crash_detector`], [`quarantine_check`], [`quarantine_keeper`] | requests that crash targets |
 //! | `rollout_keeper`, `rollout_rows` | rollout orders, and their status rows for operators |
 //! | [`scheduler_hub`], [`fleet_view`] | the shared scheduler, the routes and the targets |
 //! | [`store_feed`], [`table_follower`], [`store_table`], [`row_faults`], [`store_outage`], [`feed_relay`], [`feed_watch`], [`feed_nudge`] | routes, targets and peers from a platform's store |
@@ -27,11 +27,10 @@
 //! | [`gateway_text`], [`file_feed`], [`own_headers`] | a gateway without a platform |
 //! | [`status_port`], [`gateway_metrics`], [`decision_log`], [`target_news`] | readiness, metrics, logs |
 
-pub mod call_template;
 pub mod caller_answer;
 pub mod caller_listener;
 pub mod caller_service;
-pub mod crash_watch;
+pub mod crash_detector;
 pub mod decision_log;
 pub mod digest_relay;
 pub mod event_scanner;
@@ -50,17 +49,18 @@
 pub mod own_headers;
 pub mod peer_link;
 pub mod ports;
+pub mod quarantine_check;
 pub mod quarantine_keeper;
 pub mod quota_wait;
 pub mod relay;
 pub mod relay_fault;
-mod retry_pause;
+pub mod request_template;
+mod retry_backoff;
 mod rollout_keeper;
 mod rollout_rows;
 pub mod row_faults;
 pub mod run_fault;
 pub mod scheduler_hub;
-pub mod standing_wait;
 pub mod status_port;
 pub mod store_feed;
 pub mod store_outage;
@@ -68,6 +68,6 @@
 pub mod table_follower;
 pub mod target_answer;
 pub mod target_news;
+pub mod target_notices;
 pub mod target_pool;
-pub mod target_words;
 mod unix_time;
--- a/crates/ryetide-gateway/src/peer_link.rs
+++ b/crates/ryetide-gateway/src/peer_link.rs
@@ -29,7 +29,7 @@
     feed_relay::RelayedChange,
     gateway_state::Gateway,
     ports::{PeerEntry, PeerSecret},
-    target_words,
+    target_notices,
 };
 
 /// Length of the truncated keyed hash in bytes (128 bits).
@@ -225,7 +225,7 @@
     if let Some(report) = digest.watch.as_ref().filter(|_| is_cell_peer) {
         gateway.relay().note_peer(report);
     }
-    target_words::take_marks(gateway, &digest.leaving_targets);
+    target_notices::merge_leaving_reports(gateway, &digest.leaving_targets);
     let envelope = DigestEnvelope { from, digest };
     gateway.hub().with(|scheduler, now| scheduler.apply_digest(now, envelope));
 }
--- a/crates/ryetide-gateway/src/relay.rs
+++ b/crates/ryetide-gateway/src/relay.rs
@@ -107,7 +107,7 @@
         let frame = tokio::select! {
             biased;
             frame = reading => frame,
-            () = self.exchange.gateway().fleet().life_ended(target) => {
+            () = self.exchange.gateway().fleet().incarnation_ended(target) => {
                 tracing::debug!(event = "target-restarted", peer = %target.name, life = %target.incarnation);
                 return Err(RelayFault::Broken);
             }
--- a/crates/ryetide-gateway/src/call_template.rs
+++ b/crates/ryetide-gateway/src/request_template.rs
@@ -46,7 +46,7 @@
 
 /// The parts that are the same in every dispatch of a request.
 #[derive(Clone, Debug)]
-pub struct CallTemplate {
+pub struct RequestTemplate {
     method: Method,
     path: Uri,
     headers: HeaderMap,
@@ -64,7 +64,7 @@
     pub last_event: Option<&'a str>,
 }
 
-impl CallTemplate {
+impl RequestTemplate {
     /// Creates a template from a caller's head and body. Removes headers that only the gateway may
     /// set, and adds the organisation.
     ///
--- a/crates/ryetide-gateway/src/retry_pause.rs
+++ b/crates/ryetide-gateway/src/retry_backoff.rs
@@ -8,24 +8,24 @@
 /// The first pause after a failed call. Each further pause is twice as long, up to a maximum.
 const FIRST_PAUSE: Duration = Duration::from_millis(60);
 /// The longest pause in a small fleet.
-pub const LONGEST_PAUSE: Duration = Duration::from_millis(600);
+pub const MAX_PAUSE: Duration = Duration::from_millis(600);
 /// The range of the random factor of a pause, so that VMs whose calls failed at the same time do
 /// not retry at the same time.
 const JITTER: Range<f64> = 0.5..1.0;
 
 /// The pause before the next retry.
-pub struct RetryPause(Duration);
+pub struct RetryBackoff(Duration);
 
-impl Default for RetryPause {
+impl Default for RetryBackoff {
     fn default() -> Self {
         Self(FIRST_PAUSE)
     }
 }
 
-impl RetryPause {
+impl RetryBackoff {
     /// Sleeps for the next pause.
     pub async fn wait(&mut self) {
-        time::sleep(self.next(LONGEST_PAUSE)).await;
+        time::sleep(self.next(MAX_PAUSE)).await;
     }
 
     /// Returns how long to wait now, and doubles the next pause up to `longest`.
--- a/crates/ryetide-gateway/src/scheduler_hub.rs
+++ b/crates/ryetide-gateway/src/scheduler_hub.rs
@@ -94,7 +94,7 @@
     }
 
     /// Waits until the scheduler has changed, so that it may have work to do or updates to send.
-    pub async fn rung(&self) {
+    pub async fn changed(&self) {
         self.activity.notified().await;
     }
 
--- a/crates/ryetide-gateway/src/table_follower.rs
+++ b/crates/ryetide-gateway/src/table_follower.rs
@@ -21,7 +21,7 @@
 use crate::{
     feed_relay::RelayedChange,
     ports::{FeedLine, FleetUpdate},
-    retry_pause::{self, RetryPause},
+    retry_backoff::{self, RetryBackoff},
     store_table::{FleetTable, StoreTable, TableFault, TableRow, TableRows},
 };
 
@@ -157,7 +157,7 @@
     /// The end of the grace period in which rows of live targets may be missing, as found by this
     /// VM or by a peer that relayed rows.
     grace_until: Option<Instant>,
-    pause: RetryPause,
+    pause: RetryBackoff,
 }
 
 impl<R: RowReader> TableFollower<R> {
@@ -175,7 +175,7 @@
             lost: false,
             recovered_at: None,
             grace_until: None,
-            pause: RetryPause::default(),
+            pause: RetryBackoff::default(),
         }
     }
 
@@ -294,7 +294,7 @@
         let relay = Rc::clone(&self.channels.relay);
         let probes = relay.outage().must_ask(self.pace.table);
         let fleet_size = u32::try_from(self.channels.fleet_size.get()).unwrap_or(u32::MAX);
-        let longest = retry_pause::LONGEST_PAUSE.max(PAUSE_PER_VM.saturating_mul(fleet_size));
+        let longest = retry_backoff::MAX_PAUSE.max(PAUSE_PER_VM.saturating_mul(fleet_size));
         let wait = if probes { self.pause.next(longest) } else { OUTAGE_WAIT };
         let nudge = Rc::clone(&self.channels.nudge);
         let until = Instant::now() + wait;
@@ -452,7 +452,7 @@
     }
 
     async fn handle_recovery(&mut self) {
-        self.pause = RetryPause::default();
+        self.pause = RetryBackoff::default();
         self.channels.relay.outage().end();
         if std::mem::take(&mut self.lost) {
             self.recovered_at = Some(Instant::now());
@@ -488,7 +488,7 @@
 /// Writes this VM's own row, replacing the one of its last incarnation, and retries until it
 /// succeeds. `expected` is the known version of the existing row; 0 for none.
 pub async fn keep_row(table: &mut dyn StoreTable, key: &str, mut expected: u64, value: &[u8]) {
-    let mut pause = RetryPause::default();
+    let mut pause = RetryBackoff::default();
     loop {
         match table.write(key, expected, value, CALL_LIMIT).await {
             Ok(()) => return,
--- a/crates/ryetide-gateway/src/target_words.rs
+++ b/crates/ryetide-gateway/src/target_notices.rs
@@ -60,7 +60,7 @@
 }
 
 /// Merges a peer's reports of targets that leave.
-pub fn take_marks(gateway: &Gateway, reports: &[LeavingReport]) {
+pub fn merge_leaving_reports(gateway: &Gateway, reports: &[LeavingReport]) {
     let now = gateway.hub().clock().now();
     let mut registry = gateway.fleet().registry().borrow_mut();
     let new =
--- a/crates/ryetide-gateway/tests/serving/shutdown.rs
+++ b/crates/ryetide-gateway/tests/serving/shutdown.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ryetide_core::route::RouteKind;
-use ryetide_gateway::{gateway::GatewayOrder, ports::LocalFuture};
+use ryetide_gateway::{gateway::GatewayCommand, ports::LocalFuture};
 use tokio::time;
 
 use crate::support::{self, Gateway, Message, Target, Wire};
@@ -28,7 +28,7 @@
         while target.count() == 0 {
             time::sleep(Duration::from_millis(2)).await;
         }
-        gateway.send_command(GatewayOrder::Stop).await;
+        gateway.send_command(GatewayCommand::Stop).await;
         while gateway.ready().await != 503 {
             time::sleep(Duration::from_millis(2)).await;
         }
@@ -47,7 +47,7 @@
         let target = Target::start("t1", support::answering).await;
         let gateway = Gateway::serving(support::route(RouteKind::OnceOnly, 1), &[&target]).await;
         for id in ["q1", "q2", "q3"] {
-            gateway.send_command(GatewayOrder::Reload).await;
+            gateway.send_command(GatewayCommand::Reload).await;
             assert_eq!(gateway.ask(id, "").await.expect("an answer").status(), 200);
         }
         assert_eq!(gateway.ready().await, 200);
--- a/crates/ryetide-gateway/tests/serving/support.rs
+++ b/crates/ryetide-gateway/tests/serving/support.rs
@@ -23,7 +23,7 @@
     units::{LinkRate, Revision, TierRank, Tokens},
 };
 use ryetide_gateway::{
-    gateway::{self, GatewayOrder, GatewayParts, GatewaySockets},
+    gateway::{self, GatewayCommand, GatewayParts, GatewaySockets},
     ports::{
         FeedLine, FleetFeed, FleetUpdate, GatewaySettings, HeaderNames, LocalFuture, PeerEntry,
         SettingsSource, WorkReader, WorkSize,
@@ -312,7 +312,7 @@
     /// The address on which it receives datagrams of peers.
     pub peers: SocketAddr,
     updates: mpsc::Sender<FleetUpdate>,
-    commands: mpsc::Sender<GatewayOrder>,
+    commands: mpsc::Sender<GatewayCommand>,
     stopped: task::JoinHandle<()>,
 }
 
@@ -402,7 +402,7 @@
         wire.read_message().await
     }
 
-    pub async fn send_command(&self, command: GatewayOrder) {
+    pub async fn send_command(&self, command: GatewayCommand) {
         self.commands.send(command).await.expect("a gateway that runs");
     }
 
