--- a/crates/ryetide-gateway/src/feed_relay.rs
+++ b/crates/ryetide-gateway/src/feed_relay.rs
@@ -41,7 +41,7 @@
     /// The rest of the grace period in which rows of live targets may be missing, because the
     /// sender had lost the store. It is a remaining time rather than a flag, so that the period
     /// ends at all VMs together.
-    pub doubt: Duration,
+    pub grace_left: Duration,
     /// The rows that have changed, or `None` if they are too large to be relayed.
     pub rows: Option<Vec<TableRow>>,
 }
@@ -57,7 +57,7 @@
 
 /// Connects the followers of this VM's feed with its peers.
 pub struct FeedRelay {
-    duty: watch::Sender<bool>,
+    must_watch: watch::Sender<bool>,
     received: broadcast::Sender<Rc<RelayedChange>>,
     outgoing: mpsc::Sender<RelayedChange>,
     /// The highest positions that watching peers report.
@@ -72,11 +72,11 @@
 
 impl FeedRelay {
     /// Creates a relay, and the receiver of the changes to send to peers. The VM watches the store
-    /// until [`Self::set_duty`] makes it passive.
+    /// until [`Self::set_must_watch`] makes it passive.
     pub fn new() -> (Rc<Self>, mpsc::Receiver<RelayedChange>) {
         let (outgoing, receiver) = mpsc::channel(CHANGES_BUFFERED);
         let relay = Self {
-            duty: watch::Sender::new(true),
+            must_watch: watch::Sender::new(true),
             received: broadcast::Sender::new(CHANGES_BUFFERED),
             outgoing,
             peers: Cell::default(),
@@ -89,13 +89,14 @@
     }
 
     /// Sets whether this VM must watch the store. Returns whether that has changed.
-    pub fn set_duty(&self, must_watch: bool) -> bool {
-        self.duty.send_if_modified(|duty| std::mem::replace(duty, must_watch) != must_watch)
+    pub fn set_must_watch(&self, must_watch: bool) -> bool {
+        self.must_watch
+            .send_if_modified(|current| std::mem::replace(current, must_watch) != must_watch)
     }
 
     /// Returns a receiver of whether this VM must watch the store.
-    pub fn duty(&self) -> watch::Receiver<bool> {
-        self.duty.subscribe()
+    pub fn must_watch(&self) -> watch::Receiver<bool> {
+        self.must_watch.subscribe()
     }
 
     /// Returns the outage state that this VM's followers share.
@@ -104,29 +105,29 @@
     }
 
     /// Records the era of a version that was read.
-    pub fn note_era(&self, version: u64) {
+    pub fn record_era(&self, version: u64) {
         self.era.set(self.era.get().max(EraVersion::from_packed(version).era));
     }
 
     /// Returns whether a version is of an era before the store was restored from a copy. The store
     /// could not recognise such a version in a call for later changes, and would wait.
-    pub fn is_of_past(&self, version: u64) -> bool {
+    pub fn is_from_past_era(&self, version: u64) -> bool {
         EraVersion::from_packed(version).era < self.era.get()
     }
 
     /// Passes a change received from a peer to the followers.
-    pub fn hear(&self, change: RelayedChange) {
+    pub fn receive(&self, change: RelayedChange) {
         // Sending fails only when there are no followers.
         let _ = self.received.send(Rc::new(change));
     }
 
     /// Returns a receiver of the changes that peers relay from now on.
-    pub fn heard(&self) -> broadcast::Receiver<Rc<RelayedChange>> {
+    pub fn subscribe(&self) -> broadcast::Receiver<Rc<RelayedChange>> {
         self.received.subscribe()
     }
 
     /// Records the positions that a watching peer reports.
-    pub fn note_peer(&self, report: &WatchReport) {
+    pub fn record_peer_report(&self, report: &WatchReport) {
         let mut peers = self.peers.get();
         peers.routes = peers.routes.max(report.routes);
         peers.targets = peers.targets.max(report.targets);
@@ -134,7 +135,7 @@
     }
 
     /// Returns the highest position in a table that watching peers report.
-    pub fn peer_mark(&self, table: FleetTable) -> FeedPosition {
+    pub fn peer_position(&self, table: FleetTable) -> FeedPosition {
         match table {
             FleetTable::Routes => self.peers.get().routes,
             FleetTable::Targets => self.peers.get().targets,
@@ -145,7 +146,7 @@
     }
 
     /// Sets the position of this VM in a table; `None` if it does not watch the table.
-    pub fn note_own(&self, table: FleetTable, position: Option<FeedPosition>) {
+    pub fn set_own_position(&self, table: FleetTable, position: Option<FeedPosition>) {
         match table {
             FleetTable::Routes => self.own_routes.set(position),
             FleetTable::Targets => self.own_targets.set(position),
@@ -154,12 +155,12 @@
     }
 
     /// Returns this VM's report to peers, or `None` if it does not watch all tables.
-    pub fn watch_note(&self) -> Option<WatchReport> {
+    pub fn watch_report(&self) -> Option<WatchReport> {
         Some(WatchReport { routes: self.own_routes.get()?, targets: self.own_targets.get()? })
     }
 
     /// Queues a change to be sent to peers.
-    pub fn tell(&self, change: RelayedChange) {
+    pub fn send(&self, change: RelayedChange) {
         let table = change.table;
         if let Err(error) = self.outgoing.try_send(change.bounded()) {
             // The next digest shows the peers that they lack the change.
--- a/crates/ryetide-gateway/src/fleet_duties.rs
+++ b/crates/ryetide-gateway/src/fleet_duties.rs
@@ -20,14 +20,14 @@
 };
 
 use crate::{
-    feed_nudge::FeedNudge,
     feed_relay::RelayedChange,
-    feed_watch::{FeedPauses, FeedWatch},
     gateway_state::Gateway,
+    lag_monitor::{FeedPauses, LagMonitor},
     peer_link::{PeerEnvelope, PeerLink, PeerMessage},
     ports::{FleetUpdate, PeerEntry},
     quarantine_keeper,
-    target_news::NameList,
+    refresh_signal::RefreshSignal,
+    target_changes::NameList,
 };
 
 /// The interval at which idle connections, expiring target entries and gauges are checked.
@@ -161,8 +161,8 @@
 
 /// Periodically closes idle connections, drops expired target entries, asks a lagging feed to read
 /// again, and updates the gauges.
-pub async fn sweep(gateway: Rc<Gateway>, nudge: Rc<FeedNudge>, pauses: FeedPauses) {
-    let mut watch = FeedWatch::new(pauses, SWEEP_INTERVAL);
+pub async fn sweep(gateway: Rc<Gateway>, refresh: Rc<RefreshSignal>, pauses: FeedPauses) {
+    let mut watch = LagMonitor::new(pauses, SWEEP_INTERVAL);
     let mut ticks = time::interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
@@ -174,10 +174,10 @@
             tracing::info!(event = "feed-nudged", %table, revision = %gateway.fleet().revision());
             // While the store is unreachable, only one table's follower retries its calls. It may
             // be any of them, so all are notified.
-            if gateway.relay().outage().is_away() {
-                nudge.ring_all();
+            if gateway.relay().outage().is_ongoing() {
+                refresh.notify_all();
             } else {
-                nudge.ring(table);
+                refresh.notify(table);
             }
         }
         let (waiting, running) =
@@ -191,7 +191,7 @@
 fn update_watch_duty(gateway: &Gateway) {
     let now = gateway.hub().clock().now();
     let must_watch = gateway.hub().peek(|scheduler| scheduler.must_watch(now));
-    if gateway.relay().set_duty(must_watch) {
+    if gateway.relay().set_must_watch(must_watch) {
         tracing::info!(event = "watch-duty", must_watch);
     }
 }
--- a/crates/ryetide-gateway/src/fleet_view.rs
+++ b/crates/ryetide-gateway/src/fleet_view.rs
@@ -12,7 +12,7 @@
 };
 use tokio::sync::Notify;
 
-use crate::target_news::TargetNews;
+use crate::target_changes::TargetChanges;
 
 /// The routes in force and the targets, as last received from the feed.
 #[derive(Default)]
@@ -71,14 +71,14 @@
 
     /// Replaces the targets by those in the registry now. If anything changed, returns the new
     /// targets and the differences.
-    pub fn refresh_targets(&self, now: Moment) -> Option<(Vec<TargetEntry>, TargetNews)> {
+    pub fn refresh_targets(&self, now: Moment) -> Option<(Vec<TargetEntry>, TargetChanges)> {
         let found = self.registry.borrow_mut().current(now);
         if *self.current.borrow() == found {
             return None;
         }
         let before = self.current.replace(found.clone());
         self.changed.notify_waiters();
-        let news = TargetNews::between(&before, &found);
+        let news = TargetChanges::between(&before, &found);
         Some((found, news))
     }
 
--- a/crates/ryetide-gateway/src/gateway.rs
+++ b/crates/ryetide-gateway/src/gateway.rs
@@ -23,7 +23,6 @@
 
 use crate::{
     caller_listener, digest_relay,
-    feed_nudge::FeedNudge,
     feed_relay::FeedRelay,
     fleet_duties::{self, FleetNewsTaker},
     gateway_state::Gateway,
@@ -32,6 +31,7 @@
         FeedLine, FleetFeed, GatewaySettings, HeaderNames, PeerEntry, SettingsSource, WorkReader,
     },
     quarantine_keeper::QuarantineKeeper,
+    refresh_signal::RefreshSignal,
     rollout_keeper::RolloutKeeper,
     status_port,
 };
@@ -187,15 +187,15 @@
     let (relay, changes) = FeedRelay::new();
     let gateway = Gateway::new(settings, names, reader, scheduler, Rc::clone(&relay));
     let (updates, receiver) = mpsc::channel(UPDATE_CAPACITY);
-    let nudge = Rc::new(FeedNudge::default());
+    let refresh = Rc::new(RefreshSignal::default());
     let pauses = feed.pauses();
     let fleet_size = Rc::new(Cell::new(1));
-    let (feed_nudge, feed_fleet_size) = (Rc::clone(&nudge), Rc::clone(&fleet_size));
+    let (refresh_signal, feed_fleet_size) = (Rc::clone(&refresh), Rc::clone(&fleet_size));
     let (keeper, kept) = QuarantineKeeper::new();
     let (rollout_keeper, rollout_duties) = RolloutKeeper::new();
     let line = FeedLine {
         updates,
-        nudge: feed_nudge,
+        refresh: refresh_signal,
         fleet_size: feed_fleet_size,
         relay,
         kept,
@@ -212,7 +212,7 @@
     let sending_changes =
         fleet_duties::pass_changes_on(Rc::clone(&gateway), Rc::clone(&link), changes);
     tasks.spawn_local(sending_changes);
-    tasks.spawn_local(fleet_duties::sweep(Rc::clone(&gateway), nudge, pauses));
+    tasks.spawn_local(fleet_duties::sweep(Rc::clone(&gateway), refresh, pauses));
     tasks.spawn_local(keeper.run(Rc::clone(&gateway)));
     tasks.spawn_local(rollout_keeper.run(Rc::clone(&gateway), Rc::clone(&link)));
     tasks.spawn_local(status_port::serve(Rc::clone(&gateway), status));
--- a/crates/ryetide-gateway/src/gateway_state.rs
+++ b/crates/ryetide-gateway/src/gateway_state.rs
@@ -124,7 +124,7 @@
     /// Returns how current this VM's routes and targets are.
     pub fn news(&self) -> FleetState {
         let now = self.hub.clock().now();
-        FleetState { watch: self.relay.watch_note(), ..self.fleet.news(now) }
+        FleetState { watch: self.relay.watch_report(), ..self.fleet.news(now) }
     }
 
     /// Returns the detector of crashed targets.
--- a/crates/ryetide-gateway/src/feed_watch.rs
+++ b/crates/ryetide-gateway/src/lag_monitor.rs
@@ -59,21 +59,21 @@
 /// ```
 /// use std::time::Duration;
 /// use ryetide_core::peer_digests::FeedLag;
-/// use ryetide_gateway::{feed_watch::{FeedPauses, FeedWatch}, store_table::FleetTable};
+/// use ryetide_gateway::{lag_monitor::{FeedPauses, LagMonitor}, store_table::FleetTable};
 ///
-/// let mut monitor = FeedWatch::new(FeedPauses::default(), Duration::from_millis(200));
+/// let mut monitor = LagMonitor::new(FeedPauses::default(), Duration::from_millis(200));
 /// let behind = FeedLag { routes: true, targets: false };
 /// assert_eq!(monitor.due(behind), []);
 /// assert_eq!(monitor.due(behind), []);
 /// assert_eq!(monitor.due(behind), [FleetTable::Routes]);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct FeedWatch {
+pub struct LagMonitor {
     routes: TableLag,
     targets: TableLag,
 }
 
-impl FeedWatch {
+impl LagMonitor {
     /// Creates a monitor that gets the result of a check every `interval`.
     pub fn new(pauses: FeedPauses, interval: Duration) -> Self {
         Self {
--- a/crates/ryetide-gateway/src/lib.rs
+++ b/crates/ryetide-gateway/src/lib.rs
@@ -22,10 +22,10 @@
 //! | [`crash_detector`], [`quarantine_check`], [`quarantine_keeper`] | requests that crash targets |
 //! | `rollout_keeper`, `rollout_rows` | rollout orders, and their status rows for operators |
 //! | [`scheduler_hub`], [`fleet_view`] | the shared scheduler, the routes and the targets |
-//! | [`store_feed`], [`table_follower`], [`store_table`], [`row_faults`], [`store_outage`], [`feed_relay`], [`feed_watch`], [`feed_nudge`] | routes, targets and peers from a platform's store |
+//! | [`store_feed`], [`table_follower`], [`store_table`], [`row_faults`], [`store_outage`], [`feed_relay`], [`lag_monitor`], [`refresh_signal`] | routes, targets and peers from a platform's store |
 //! | [`peer_link`], [`digest_relay`] | messages between entry VMs, and the relay of digests |
 //! | [`gateway_text`], [`file_feed`], [`own_headers`] | a gateway without a platform |
-//! | [`status_port`], [`gateway_metrics`], [`decision_log`], [`target_news`] | readiness, metrics, logs |
+//! | [`status_port`], [`gateway_metrics`], [`decision_log`], [`target_changes`] | readiness, metrics, logs |
 
 pub mod caller_answer;
 pub mod caller_listener;
@@ -35,9 +35,7 @@
 pub mod digest_relay;
 pub mod event_scanner;
 pub mod exchange;
-pub mod feed_nudge;
 pub mod feed_relay;
-pub mod feed_watch;
 pub mod file_feed;
 pub mod fleet_duties;
 pub mod fleet_view;
@@ -45,6 +43,7 @@
 pub mod gateway_metrics;
 pub mod gateway_state;
 pub mod gateway_text;
+pub mod lag_monitor;
 mod local_future;
 pub mod own_headers;
 pub mod peer_link;
@@ -52,6 +51,7 @@
 pub mod quarantine_check;
 pub mod quarantine_keeper;
 pub mod quota_wait;
+pub mod refresh_signal;
 pub mod relay;
 pub mod relay_fault;
 pub mod request_template;
@@ -67,7 +67,7 @@
 pub mod store_table;
 pub mod table_follower;
 pub mod target_answer;
-pub mod target_news;
+pub mod target_changes;
 pub mod target_notices;
 pub mod target_pool;
 mod unix_time;
--- a/crates/ryetide-gateway/src/peer_link.rs
+++ b/crates/ryetide-gateway/src/peer_link.rs
@@ -208,7 +208,7 @@
                 handle_relayed(gateway, &inner);
             }
         }
-        PeerMessage::Change(change) => gateway.relay().hear(change),
+        PeerMessage::Change(change) => gateway.relay().receive(change),
     }
 }
 
@@ -223,7 +223,7 @@
     // of this cell do, so their reports are not used here.
     let is_cell_peer = gateway.hub().peek(|scheduler| scheduler.is_cell_peer(&from));
     if let Some(report) = digest.watch.as_ref().filter(|_| is_cell_peer) {
-        gateway.relay().note_peer(report);
+        gateway.relay().record_peer_report(report);
     }
     target_notices::merge_leaving_reports(gateway, &digest.leaving_targets);
     let envelope = DigestEnvelope { from, digest };
--- a/crates/ryetide-gateway/src/ports.rs
+++ b/crates/ryetide-gateway/src/ports.rs
@@ -20,7 +20,7 @@
 use tokio::sync::{mpsc, watch};
 
 pub use crate::local_future::LocalFuture;
-use crate::{feed_nudge::FeedNudge, feed_relay::FeedRelay, feed_watch::FeedPauses};
+use crate::{feed_relay::FeedRelay, lag_monitor::FeedPauses, refresh_signal::RefreshSignal};
 
 /// Output tokens assumed for a request whose headers do not state them.
 const ASSUMED_OUTPUT: Tokens = Tokens(200);
@@ -178,7 +178,7 @@
     pub updates: mpsc::Sender<FleetUpdate>,
     /// Notified when another VM has changes that this one lacks. The feed then repeats its pending
     /// calls, since a call may hang without an error.
-    pub nudge: Rc<FeedNudge>,
+    pub refresh: Rc<RefreshSignal>,
     /// The number of known entry VMs.
     pub fleet_size: Rc<Cell<usize>>,
     /// Relays changes between this VM and its peers.
--- a/crates/ryetide-gateway/src/feed_nudge.rs
+++ b/crates/ryetide-gateway/src/refresh_signal.rs
@@ -10,29 +10,29 @@
 
 /// A signal for each table.
 #[derive(Debug, Default)]
-pub struct FeedNudge {
+pub struct RefreshSignal {
     routes: Notify,
     targets: Notify,
     vms: Notify,
 }
 
-impl FeedNudge {
+impl RefreshSignal {
     /// Makes the follower of a table query the store at once, if it is waiting.
-    pub fn ring(&self, table: FleetTable) {
+    pub fn notify(&self, table: FleetTable) {
         if let Some(signal) = self.signal(table) {
             signal.notify_waiters();
         }
     }
 
     /// Makes all waiting followers query the store at once.
-    pub fn ring_all(&self) {
+    pub fn notify_all(&self) {
         for table in [FleetTable::Routes, FleetTable::Targets, FleetTable::Vms] {
-            self.ring(table);
+            self.notify(table);
         }
     }
 
     /// Waits for the signal to query a table. Never completes for a table without a follower.
-    pub async fn rung(&self, table: FleetTable) {
+    pub async fn notified(&self, table: FleetTable) {
         match self.signal(table) {
             Some(signal) => signal.notified().await,
             None => std::future::pending().await,
--- a/crates/ryetide-gateway/src/rollout_rows.rs
+++ b/crates/ryetide-gateway/src/rollout_rows.rs
@@ -110,8 +110,8 @@
                 let _ = self.channels.updates.send(FleetUpdate::Rollout(report)).await;
             }
             Err(fault) => {
-                statuses.hang_up();
-                notes.hang_up();
+                statuses.disconnect();
+                notes.disconnect();
                 let task = duty.task;
                 tracing::warn!(event = "rollout-row-failed", %service, %number, ?task, reason = %fault);
             }
@@ -182,8 +182,8 @@
         status: RolloutStatus,
     ) -> Result<RolloutReport, DutyFault> {
         let report = |status| report_of(order, status);
-        let key = self.store.word_key(&order.service);
-        let value = self.store.write_word(order, status)?;
+        let key = self.store.status_key(&order.service);
+        let value = self.store.encode_status(order, status)?;
         for _ in 0..WRITE_ATTEMPTS {
             let row = find(statuses, &key).await?;
             let stored = row.as_ref().and_then(|row| self.status_of(row, order));
@@ -207,7 +207,7 @@
         if row.version <= order.number.0 {
             return None;
         }
-        let read = row.value.bytes().map(|value| self.store.read_word(value))?;
+        let read = row.value.bytes().map(|value| self.store.decode_status(value))?;
         read.inspect_err(|error| {
             tracing::warn!(event = "rollout-row-unreadable", key = row.key, reason = %error);
         })
--- a/crates/ryetide-gateway/src/row_faults.rs
+++ b/crates/ryetide-gateway/src/row_faults.rs
@@ -26,7 +26,12 @@
 impl RowFaults {
     /// Logs that a row cannot be decoded, unless this was logged for the same version of the row.
     /// Returns whether it was logged.
-    pub fn note(&mut self, table: FleetTable, row: &TableRow, reason: &dyn fmt::Display) -> bool {
+    pub fn log_once(
+        &mut self,
+        table: FleetTable,
+        row: &TableRow,
+        reason: &dyn fmt::Display,
+    ) -> bool {
         if self.logged.get(&row.key) == Some(&row.version) {
             return false;
         }
--- a/crates/ryetide-gateway/src/store_feed.rs
+++ b/crates/ryetide-gateway/src/store_feed.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    feed_watch::FeedPauses,
+    lag_monitor::FeedPauses,
     ports::{FeedLine, FleetFeed, FleetUpdate, KeptQuarantine, LocalFuture, PeerEntry, PeerSecret},
     quarantine_keeper,
     rollout_rows::RolloutRows,
@@ -72,21 +72,25 @@
     fn order(&self, row: &TableRow) -> Result<Option<RolloutOrder>, StepError>;
 
     /// Returns the key of the row that holds the status of a service's rollout order.
-    fn word_key(&self, service: &ServiceName) -> String;
+    fn status_key(&self, service: &ServiceName) -> String;
 
     /// Decodes the status of a rollout order, as shown to operators.
     ///
     /// # Errors
     ///
     /// Returns a [`StepError`] that names the invalid part.
-    fn read_word(&self, value: &[u8]) -> Result<RolloutStatus, StepError>;
+    fn decode_status(&self, value: &[u8]) -> Result<RolloutStatus, StepError>;
 
     /// Encodes the status of a rollout order, as shown to operators.
     ///
     /// # Errors
     ///
     /// Returns a [`StepError`] if the status cannot be encoded.
-    fn write_word(&self, order: &RolloutOrder, word: RolloutStatus) -> Result<Vec<u8>, StepError>;
+    fn encode_status(
+        &self,
+        order: &RolloutOrder,
+        word: RolloutStatus,
+    ) -> Result<Vec<u8>, StepError>;
 
     /// Decodes the entry with which a target registered itself.
     ///
@@ -292,7 +296,7 @@
 /// after the write; the conflict that the next write meets gives the current one.
 async fn write_row(table: &mut dyn StoreTable, own: &PeerEntry, version: u64, row: &VmRow) -> u64 {
     match serde_json::to_vec(row) {
-        Ok(value) => table_follower::keep_row(table, own.name.as_str(), version, &value).await,
+        Ok(value) => table_follower::write_own_row(table, own.name.as_str(), version, &value).await,
         Err(error) => tracing::error!(event = "announce-failed", step = "encode", reason = %error),
     }
     version
@@ -318,7 +322,7 @@
         match self.store.routes(row) {
             Ok(routes) => Some(FleetUpdate::Routes(Arc::new(routes?))),
             Err(error) => {
-                self.faults.note(FleetTable::Routes, row, &error);
+                self.faults.log_once(FleetTable::Routes, row, &error);
                 None
             }
         }
@@ -326,7 +330,7 @@
 
     fn decode_order(&mut self, row: &TableRow) -> Option<RolloutOrder> {
         self.store.order(row).unwrap_or_else(|error| {
-            self.faults.note(FleetTable::Routes, row, &error);
+            self.faults.log_once(FleetTable::Routes, row, &error);
             None
         })
     }
@@ -335,7 +339,7 @@
 impl RowReader for RouteReader {
     /// Puts rollout orders first: requests are served as soon as routes are known, and a version
     /// under evaluation must be known as such by then.
-    fn whole(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
+    fn whole_table(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
         let orders: Vec<RolloutOrder> =
             rows.iter().filter_map(|row| self.decode_order(row)).collect();
         let orders = (!orders.is_empty()).then_some(FleetUpdate::Orders(orders));
@@ -344,7 +348,7 @@
     }
 
     fn changed(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
-        self.whole(rows)
+        self.whole_table(rows)
     }
 }
 
@@ -369,13 +373,13 @@
             match &row.value {
                 RowValue::Dropped => sorted.gone.push(name),
                 RowValue::Unreadable => {
-                    self.faults.note(FleetTable::Targets, row, &"the value is not bytes");
+                    self.faults.log_once(FleetTable::Targets, row, &"the value is not bytes");
                     sorted.unreadable.push(name);
                 }
                 RowValue::Present(value) => match self.store.target(&row.key, value) {
                     Ok(entry) => sorted.entries.push(entry),
                     Err(error) => {
-                        self.faults.note(FleetTable::Targets, row, &error);
+                        self.faults.log_once(FleetTable::Targets, row, &error);
                         sorted.unreadable.push(name);
                     }
                 },
@@ -391,7 +395,7 @@
 }
 
 impl RowReader for TargetReader {
-    fn whole(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
+    fn whole_table(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
         let TargetRows { entries, unreadable, .. } = self.sort(&rows);
         let update = RegistryUpdate::Snapshot { entries, unreadable };
         vec![FleetUpdate::Targets(update, newest(&rows))]
@@ -407,7 +411,7 @@
         Some(FleetUpdate::TargetsReached(version))
     }
 
-    fn source(&mut self, lost: bool) -> Option<FleetUpdate> {
+    fn source_lost(&mut self, lost: bool) -> Option<FleetUpdate> {
         let update = if lost { RegistryUpdate::SourceLost } else { RegistryUpdate::SourceBack };
         Some(FleetUpdate::Targets(update, 0))
     }
@@ -416,7 +420,7 @@
         Some(FleetUpdate::Targets(RegistryUpdate::SourceRestored, 0))
     }
 
-    fn doubt(&mut self, left: Duration) -> Option<FleetUpdate> {
+    fn missing_entry_grace(&mut self, left: Duration) -> Option<FleetUpdate> {
         Some(FleetUpdate::Targets(RegistryUpdate::MissingEntryGrace(left), 0))
     }
 }
@@ -451,7 +455,7 @@
 }
 
 impl RowReader for VmReader {
-    fn whole(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
+    fn whole_table(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
         self.publish_own_row(&rows);
         self.known.clear();
         self.changed(rows)
@@ -468,9 +472,9 @@
             }
             self.known.remove(&row.key);
             if let Some(Err(error)) = decoded {
-                self.faults.note(FleetTable::Vms, &row, &error);
+                self.faults.log_once(FleetTable::Vms, &row, &error);
             } else if row.value == RowValue::Unreadable {
-                self.faults.note(FleetTable::Vms, &row, &"the value is not bytes");
+                self.faults.log_once(FleetTable::Vms, &row, &"the value is not bytes");
             }
         }
         vec![FleetUpdate::Peers(self.known.values().cloned().collect())]
--- a/crates/ryetide-gateway/src/store_outage.rs
+++ b/crates/ryetide-gateway/src/store_outage.rs
@@ -20,14 +20,14 @@
 impl StoreOutage {
     /// Returns whether the follower of `table`, whose call has failed, probes the store. The first
     /// table whose call failed does.
-    pub fn must_ask(&self, table: FleetTable) -> bool {
+    pub fn claim_probe(&self, table: FleetTable) -> bool {
         let prober = self.prober.get().unwrap_or(table);
         self.prober.set(Some(prober));
         prober == table
     }
 
     /// Returns whether a call has failed and none has succeeded since.
-    pub fn is_away(&self) -> bool {
+    pub fn is_ongoing(&self) -> bool {
         self.prober.get().is_some()
     }
 
--- a/crates/ryetide-gateway/src/store_table.rs
+++ b/crates/ryetide-gateway/src/store_table.rs
@@ -100,7 +100,7 @@
 
     /// Closes the connection of a table that is not queried for a while; the next call opens
     /// another.
-    fn hang_up(&mut self);
+    fn disconnect(&mut self);
 
     /// Writes a row if it has the version `expected`, with a timeout of `limit`; 0 means that the
     /// row must not exist.
--- a/crates/ryetide-gateway/src/table_follower.rs
+++ b/crates/ryetide-gateway/src/table_follower.rs
@@ -93,7 +93,7 @@
 /// Decodes the rows of one table into updates.
 pub trait RowReader {
     /// Decodes the whole table.
-    fn whole(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate>;
+    fn whole_table(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate>;
 
     /// Decodes the latest state of each row that has changed.
     fn changed(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate>;
@@ -105,7 +105,7 @@
     }
 
     /// Reports that the store became unreadable (`lost`), or readable again.
-    fn source(&mut self, lost: bool) -> Option<FleetUpdate> {
+    fn source_lost(&mut self, lost: bool) -> Option<FleetUpdate> {
         let _ = lost;
         None
     }
@@ -117,7 +117,7 @@
 
     /// Reports that rows of live targets may be missing for the time `left`, since the relaying peer
     /// had lost the store, or the store was restored from a copy.
-    fn doubt(&mut self, left: Duration) -> Option<FleetUpdate> {
+    fn missing_entry_grace(&mut self, left: Duration) -> Option<FleetUpdate> {
         let _ = left;
         None
     }
@@ -167,8 +167,8 @@
             table,
             pace,
             reader,
-            must_watch: channels.relay.duty(),
-            relayed: channels.relay.heard(),
+            must_watch: channels.relay.must_watch(),
+            relayed: channels.relay.subscribe(),
             channels,
             version: 0,
             changed: 0,
@@ -183,7 +183,7 @@
     pub async fn run(mut self) {
         let mut followed = false;
         while !self.channels.updates.is_closed() {
-            followed &= !self.channels.relay.is_of_past(self.version);
+            followed &= !self.channels.relay.is_from_past_era(self.version);
             let outcome = if followed {
                 let Some(outcome) = self.follow().await else { continue };
                 outcome
@@ -264,15 +264,15 @@
             self.pace.draw_wait(self.channels.fleet_size.get(), &mut rand::rng())
         };
         let limit = if passive { CALL_LIMIT } else { wait + FOLLOW_MARGIN };
-        let (nudge, seen, lost) = (Rc::clone(&self.channels.nudge), self.version, self.lost);
+        let (refresh, seen, lost) = (Rc::clone(&self.channels.refresh), self.version, self.lost);
         let (table, relayed) = (self.pace.table, self.pace.is_relayed());
         let outcome = tokio::select! {
             outcome = self.table.follow(seen, wait, limit) => outcome,
-            () = nudge.rung(table), if !passive => {
+            () = refresh.notified(table), if !passive => {
                 // If this call hangs, the one for the rows of VMs may hang too, and peers cannot
                 // detect that.
                 if table != FleetTable::Vms {
-                    nudge.ring(FleetTable::Vms);
+                    refresh.notify(FleetTable::Vms);
                 }
                 return None;
             }
@@ -292,16 +292,16 @@
     async fn wait_for_store(&mut self) {
         let relayed = self.pace.is_relayed();
         let relay = Rc::clone(&self.channels.relay);
-        let probes = relay.outage().must_ask(self.pace.table);
+        let probes = relay.outage().claim_probe(self.pace.table);
         let fleet_size = u32::try_from(self.channels.fleet_size.get()).unwrap_or(u32::MAX);
         let longest = retry_backoff::MAX_PAUSE.max(PAUSE_PER_VM.saturating_mul(fleet_size));
         let wait = if probes { self.pause.next(longest) } else { OUTAGE_WAIT };
-        let nudge = Rc::clone(&self.channels.nudge);
+        let refresh = Rc::clone(&self.channels.refresh);
         let until = Instant::now() + wait;
         loop {
             tokio::select! {
                 () = time::sleep_until(until) => return,
-                () = nudge.rung(self.pace.table), if probes => return,
+                () = refresh.notified(self.pace.table), if probes => return,
                 () = relay.outage().ended(), if !probes => return,
                 _ = self.must_watch.changed(), if relayed => return,
                 change = next_change(&mut self.relayed, self.pace.table), if relayed => {
@@ -315,15 +315,15 @@
     /// missed a change, or must watch.
     async fn follow_peers(&mut self) {
         self.publish_position(false);
-        self.table.hang_up();
+        self.table.disconnect();
         self.relayed = self.relayed.resubscribe();
-        let nudge = Rc::clone(&self.channels.nudge);
+        let refresh = Rc::clone(&self.channels.refresh);
         let mut behind = 0;
         let mut ticks = time::interval(PASSIVE_CHECK_INTERVAL);
         while behind < PASSIVE_BEHIND_LIMIT {
             tokio::select! {
                 _ = self.must_watch.changed() => return,
-                () = nudge.rung(self.pace.table) => return,
+                () = refresh.notified(self.pace.table) => return,
                 change = self.relayed.recv() => match change {
                     Ok(change) if self.apply_relayed(&change).await => {}
                     // Changes were dropped unread, or a change before this one is missing.
@@ -341,7 +341,7 @@
     /// Returns whether a watching peer has a change that this VM lacks. If not, this VM is as far
     /// as the peer, and takes over the version that the peer has reached.
     async fn is_behind_peers(&mut self) -> bool {
-        let FeedPosition { changed, reached } = self.channels.relay.peer_mark(self.pace.table);
+        let FeedPosition { changed, reached } = self.channels.relay.peer_position(self.pace.table);
         if changed > self.version {
             return true;
         }
@@ -362,9 +362,9 @@
         let Some(rows) = change.rows.as_ref().filter(|_| change.after <= self.version) else {
             return false;
         };
-        if !change.doubt.is_zero() {
-            self.extend_grace(change.doubt);
-            let update = self.reader.doubt(change.doubt);
+        if !change.grace_left.is_zero() {
+            self.extend_grace(change.grace_left);
+            let update = self.reader.missing_entry_grace(change.grace_left);
             self.send(update).await;
         }
         let new = rows.iter().filter(|row| row.version > self.version).cloned().collect();
@@ -376,17 +376,17 @@
     /// Publishes the position of this VM in the table to the peers, or that it does not watch.
     fn publish_position(&self, watches: bool) {
         let position = FeedPosition { changed: self.changed, reached: self.version };
-        self.channels.relay.note_own(self.pace.table, watches.then_some(position));
+        self.channels.relay.set_own_position(self.pace.table, watches.then_some(position));
     }
 
     /// Relays changes that the store has returned to the peers.
     fn relay_change(&self, rows: &TableRows, after: u64) {
         if self.pace.is_relayed() {
-            self.channels.relay.tell(RelayedChange {
+            self.channels.relay.send(RelayedChange {
                 table: self.pace.table,
                 after,
                 reached: rows.version,
-                doubt: self.grace_left(),
+                grace_left: self.grace_left(),
                 rows: Some(rows.rows.clone()),
             });
         }
@@ -421,7 +421,7 @@
         let update = match following {
             true if rows.rows.is_empty() => Vec::new(),
             true => self.reader.changed(last_states(rows.rows)),
-            false => self.reader.whole(rows.rows),
+            false => self.reader.whole_table(rows.rows),
         };
         self.send(update).await;
         let reached = self.reader.reached(self.version);
@@ -432,7 +432,7 @@
     /// repeat them.
     async fn handle_restore(&mut self, version: u64) {
         let known = std::mem::replace(&mut self.version, version);
-        self.channels.relay.note_era(version);
+        self.channels.relay.record_era(version);
         if known == 0 {
             return;
         }
@@ -442,13 +442,13 @@
         if self.grace_left().is_zero() {
             self.recovered_at = Some(Instant::now());
             self.extend_grace(target_registry::MISSING_ENTRY_GRACE);
-            let update = self.reader.doubt(target_registry::MISSING_ENTRY_GRACE);
+            let update = self.reader.missing_entry_grace(target_registry::MISSING_ENTRY_GRACE);
             self.send(update).await;
         }
         let update = self.reader.restored();
         self.send(update).await;
         // The other tables' calls may hang, or wait for versions far ahead of the restored ones.
-        self.channels.nudge.ring_all();
+        self.channels.refresh.notify_all();
     }
 
     async fn handle_recovery(&mut self) {
@@ -458,7 +458,7 @@
             self.recovered_at = Some(Instant::now());
             self.extend_grace(target_registry::MISSING_ENTRY_GRACE);
             tracing::info!(event = "dependency-regained", peer = "store", table = %self.pace.table);
-            let update = self.reader.source(false);
+            let update = self.reader.source_lost(false);
             self.send(update).await;
         }
     }
@@ -468,10 +468,10 @@
         if !std::mem::replace(&mut self.lost, true) {
             let table = self.pace.table;
             tracing::warn!(event = "dependency-lost", peer = "store", %table, reason = %fault);
-            let update = self.reader.source(true);
+            let update = self.reader.source_lost(true);
             self.send(update).await;
             // The calls for the other tables may hang as this one did.
-            self.channels.nudge.ring_all();
+            self.channels.refresh.notify_all();
         }
     }
 
@@ -487,7 +487,7 @@
 
 /// Writes this VM's own row, replacing the one of its last incarnation, and retries until it
 /// succeeds. `expected` is the known version of the existing row; 0 for none.
-pub async fn keep_row(table: &mut dyn StoreTable, key: &str, mut expected: u64, value: &[u8]) {
+pub async fn write_own_row(table: &mut dyn StoreTable, key: &str, mut expected: u64, value: &[u8]) {
     let mut pause = RetryBackoff::default();
     loop {
         match table.write(key, expected, value, CALL_LIMIT).await {
--- a/crates/ryetide-gateway/src/target_news.rs
+++ b/crates/ryetide-gateway/src/target_changes.rs
@@ -16,7 +16,7 @@
 /// # Example
 ///
 /// ```
-/// use ryetide_gateway::target_news::NameList;
+/// use ryetide_gateway::target_changes::NameList;
 ///
 /// let names = |count: u32| NameList((0..count).map(|it| format!("t{it}").as_str().into()).collect());
 /// assert_eq!(names(0).to_string(), "-");
@@ -44,7 +44,7 @@
 
 /// How one list of targets differs from the one before.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct TargetNews {
+pub struct TargetChanges {
     /// Targets that are new.
     pub arrived: NameList,
     /// Targets that have started to leave.
@@ -53,7 +53,7 @@
     pub gone: NameList,
 }
 
-impl TargetNews {
+impl TargetChanges {
     /// Compares two lists, each sorted by name.
     pub fn between(before: &[TargetEntry], after: &[TargetEntry]) -> Self {
         let find = |list: &[TargetEntry], entry: &TargetEntry| {
--- a/crates/ryetide-gateway/tests/table_follower/eras.rs
+++ b/crates/ryetide-gateway/tests/table_follower/eras.rs
@@ -33,7 +33,7 @@
         let (peer, changes) = ModelVm::start(&store, "e1", BOUNDS);
         let (vm, _changes) = ModelVm::start(&store, "e2", BOUNDS);
         task::spawn_local(model_store::relay_changes(Rc::clone(&peer), changes, Rc::clone(&vm)));
-        vm.relay.set_duty(!passive);
+        vm.relay.set_must_watch(!passive);
         time::sleep(Duration::from_secs(5)).await;
         assert!(peer.uses("a") && vm.uses("a"), "both know the targets");
         Self { store, peer, vm }
--- a/crates/ryetide-gateway/tests/table_follower/lag.rs
+++ b/crates/ryetide-gateway/tests/table_follower/lag.rs
@@ -4,7 +4,7 @@
 
 use ryetide_core::peer_digests::FeedLag;
 use ryetide_gateway::{
-    feed_watch::{FeedPauses, FeedWatch},
+    lag_monitor::{FeedPauses, LagMonitor},
     ports::FleetFeed,
     store_feed::{FeedBounds, StoreFeed},
     store_table::FleetTable,
@@ -30,7 +30,7 @@
 /// Returns which of thirty checks that find a VM behind are followed by a query, and of which
 /// table.
 fn due(pauses: FeedPauses, behind: FeedLag) -> Vec<(u32, FleetTable)> {
-    let mut monitor = FeedWatch::new(pauses, CHECK_INTERVAL);
+    let mut monitor = LagMonitor::new(pauses, CHECK_INTERVAL);
     let checks =
         (1..=30).flat_map(|check| monitor.due(behind).into_iter().map(move |it| (check, it)));
     checks.collect()
@@ -76,7 +76,7 @@
             store.register("first");
             let (peer, changes) = ModelVm::start(&store, "e1", bounds);
             let (vm, _changes) = ModelVm::start(&store, "e2", bounds);
-            vm.relay.set_duty(false);
+            vm.relay.set_must_watch(false);
             task::spawn_local(model_store::relay_changes(
                 Rc::clone(&peer),
                 changes,
@@ -84,7 +84,7 @@
             ));
             time::sleep(Duration::from_millis(100)).await;
             let (other, _others) = ModelVm::start(&store, "e3", bounds);
-            let mut monitor = FeedWatch::new(pauses(bounds), CHECK_INTERVAL);
+            let mut monitor = LagMonitor::new(pauses(bounds), CHECK_INTERVAL);
             let (mut calls, mut behind_checks) = (0, 0);
             for change in 0..200 {
                 store.register(&format!("t{change}"));
@@ -97,7 +97,7 @@
                 }
                 let behind = FeedLag { routes: false, targets: vm.is_behind(&other) };
                 behind_checks += usize::from(behind.targets);
-                monitor.due(behind).into_iter().for_each(|table| vm.nudge.ring(table));
+                monitor.due(behind).into_iter().for_each(|table| vm.refresh.notify(table));
             }
             assert!(
                 behind_checks > 50,
--- a/crates/ryetide-gateway/tests/table_follower/leaving.rs
+++ b/crates/ryetide-gateway/tests/table_follower/leaving.rs
@@ -64,7 +64,7 @@
         let (peer, changes) = ModelVm::start(&store, "e1", self.bounds);
         let (vm, _changes) = ModelVm::start(&store, "e2", self.bounds);
         task::spawn_local(model_store::relay_changes(Rc::clone(&peer), changes, Rc::clone(&vm)));
-        vm.relay.set_duty(self.after == AfterCut::Watches);
+        vm.relay.set_must_watch(self.after == AfterCut::Watches);
         time::sleep(Duration::from_secs(5)).await;
         assert!(peer.uses("a") && vm.uses("a"), "both know the targets");
 
@@ -73,12 +73,12 @@
         let ended = begun + CUT;
         // A VM that receives nothing from its peer must watch.
         vm.path.cut(self.cut);
-        vm.relay.set_duty(true);
+        vm.relay.set_must_watch(true);
         let back = async {
             time::sleep_until(ended).await;
             vm.path.mend();
             time::sleep(REJOIN_DELAY).await;
-            vm.relay.set_duty(self.after == AfterCut::Watches);
+            vm.relay.set_must_watch(self.after == AfterCut::Watches);
         };
         let end = async {
             time::sleep_until(begun + self.deleted_after).await;
@@ -147,11 +147,11 @@
 
 /// Makes a VM passive as soon as it knows that its peer watches the store.
 async fn become_passive_when_watched(peer: Rc<ModelVm>, vm: Rc<ModelVm>) {
-    while peer.relay.watch_note().is_none() {
+    while peer.relay.watch_report().is_none() {
         time::sleep(Duration::from_millis(10)).await;
     }
     time::sleep(REJOIN_DELAY).await;
-    vm.relay.set_duty(false);
+    vm.relay.set_must_watch(false);
 }
 
 /// Guards against live targets that get no work after an outage of the store. It is unavailable for
@@ -172,7 +172,7 @@
                     changes,
                     Rc::clone(&vm),
                 ));
-                vm.relay.set_duty(noticed);
+                vm.relay.set_must_watch(noticed);
                 time::sleep(Duration::from_secs(5)).await;
                 peer.path.cut(CutKind::Refused);
                 if noticed {
--- a/crates/ryetide-gateway/tests/table_follower/main.rs
+++ b/crates/ryetide-gateway/tests/table_follower/main.rs
@@ -105,7 +105,7 @@
         failed(),
         Answer::Fault(TableFault::Conflict(Some(row("e1", 6)))),
     ]);
-    table_follower::keep_row(&mut *script.table(), "e1", 0, b"mine").await;
+    table_follower::write_own_row(&mut *script.table(), "e1", 0, b"mine").await;
     assert_eq!(script.calls(), [Call::Write(0), Call::Write(5), Call::Write(5)]);
 }
 
@@ -116,7 +116,7 @@
     let conflicts = (0..10).map(|_| Answer::Fault(TableFault::Conflict(None)));
     let script = Script::new(conflicts.chain([Answer::Written]));
     let begun = Instant::now();
-    table_follower::keep_row(&mut *script.table(), "e1", 0, b"mine").await;
+    table_follower::write_own_row(&mut *script.table(), "e1", 0, b"mine").await;
     assert_eq!(script.calls().len(), 11);
     assert!(begun.elapsed() > Duration::from_secs(2), "{:?}", begun.elapsed());
 }
--- a/crates/ryetide-gateway/tests/table_follower/model_store.rs
+++ b/crates/ryetide-gateway/tests/table_follower/model_store.rs
@@ -22,10 +22,10 @@
     units::{LinkRate, Moment},
 };
 use ryetide_gateway::{
-    feed_nudge::FeedNudge,
     feed_relay::{FeedRelay, RelayedChange},
     fleet_view::FleetView,
     ports::{FeedLine, FleetFeed, FleetUpdate, LocalFuture, PeerEntry},
+    refresh_signal::RefreshSignal,
     store_feed::{FeedBounds, FleetStore, StoreFeed},
     store_table::{FleetTable, RowValue, StoreTable, TableFault, TableRow, TableRows},
 };
@@ -226,7 +226,7 @@
         })
     }
 
-    fn hang_up(&mut self) {}
+    fn disconnect(&mut self) {}
 
     fn write<'a>(
         &'a mut self,
@@ -260,15 +260,15 @@
         Ok(None)
     }
 
-    fn word_key(&self, service: &ServiceName) -> String {
+    fn status_key(&self, service: &ServiceName) -> String {
         service.to_string()
     }
 
-    fn read_word(&self, _value: &[u8]) -> Result<RolloutStatus, StepError> {
+    fn decode_status(&self, _value: &[u8]) -> Result<RolloutStatus, StepError> {
         Err(StepError::new("read word", "this store has no orders"))
     }
 
-    fn write_word(
+    fn encode_status(
         &self,
         _order: &RolloutOrder,
         _word: RolloutStatus,
@@ -295,7 +295,7 @@
 pub struct ModelVm {
     pub path: Rc<StorePath>,
     pub relay: Rc<FeedRelay>,
-    pub nudge: Rc<FeedNudge>,
+    pub refresh: Rc<RefreshSignal>,
     /// Whether the datagrams with changes that peers send to it are lost.
     pub loses_changes: Cell<bool>,
     fleet: FleetView,
@@ -318,7 +318,7 @@
         let vm = Rc::new(Self {
             path: Rc::default(),
             relay: Rc::clone(&relay),
-            nudge: Rc::default(),
+            refresh: Rc::default(),
             loses_changes: Cell::new(false),
             fleet: FleetView::default(),
             started: Instant::now(),
@@ -329,7 +329,7 @@
         let (updates, received) = mpsc::channel(64);
         let channels = FeedLine {
             updates,
-            nudge: Rc::clone(&vm.nudge),
+            refresh: Rc::clone(&vm.refresh),
             fleet_size: Rc::new(Cell::new(65)),
             relay,
             kept: watch::channel(Vec::new()).1,
@@ -418,12 +418,12 @@
                 let Some(change) = change else { return };
                 time::sleep(NETWORK_DELAY).await;
                 if !to.path.is_cut() && !to.loses_changes.get() {
-                    to.relay.hear(change);
+                    to.relay.receive(change);
                 }
             }
             _ = digests.tick() => {
-                if let Some(report) = from.relay.watch_note().filter(|_| !to.path.is_cut()) {
-                    to.relay.note_peer(&report);
+                if let Some(report) = from.relay.watch_report().filter(|_| !to.path.is_cut()) {
+                    to.relay.record_peer_report(&report);
                 }
             }
         }
--- a/crates/ryetide-gateway/tests/table_follower/passive.rs
+++ b/crates/ryetide-gateway/tests/table_follower/passive.rs
@@ -4,9 +4,9 @@
 
 use ryetide_core::watcher_selection::{FeedPosition, WatchReport};
 use ryetide_gateway::{
-    feed_nudge::FeedNudge,
     feed_relay::{FeedRelay, RelayedChange},
     ports::{FeedLine, FleetUpdate},
+    refresh_signal::RefreshSignal,
     store_table::{FleetTable, TableRow},
     table_follower::{TableFollower, TablePace},
 };
@@ -24,7 +24,7 @@
     relay: Rc<FeedRelay>,
     changes: mpsc::Receiver<RelayedChange>,
     updates: mpsc::Receiver<FleetUpdate>,
-    nudge: Rc<FeedNudge>,
+    refresh: Rc<RefreshSignal>,
     _follower: JoinHandle<()>,
 }
 
@@ -32,12 +32,12 @@
     fn start(must_watch: bool, answers: impl IntoIterator<Item = Answer>) -> Self {
         let script = Script::new(answers);
         let (relay, changes) = FeedRelay::new();
-        relay.set_duty(must_watch);
+        relay.set_must_watch(must_watch);
         let (sender, updates) = mpsc::channel(64);
-        let nudge = Rc::new(FeedNudge::default());
+        let refresh = Rc::new(RefreshSignal::default());
         let channels = FeedLine {
             updates: sender,
-            nudge: Rc::clone(&nudge),
+            refresh: Rc::clone(&refresh),
             fleet_size: Rc::new(Cell::new(70)),
             relay: Rc::clone(&relay),
             kept: watch::channel(Vec::new()).1,
@@ -45,7 +45,7 @@
         };
         let follower = TableFollower::new(script.table(), PACE, CountingReader, channels);
         let _follower = tokio::task::spawn_local(follower.run());
-        Self { script, relay, changes, updates, nudge, _follower }
+        Self { script, relay, changes, updates, refresh, _follower }
     }
 
     fn drain_updates(&mut self) -> Vec<String> {
@@ -56,7 +56,7 @@
 fn change(after: u64, rows: &[TableRow]) -> RelayedChange {
     let reached = rows.iter().map(|row| row.version).max().expect("rows");
     let rows = Some(rows.to_vec());
-    RelayedChange { table: FleetTable::Targets, after, reached, doubt: Duration::ZERO, rows }
+    RelayedChange { table: FleetTable::Targets, after, reached, grace_left: Duration::ZERO, rows }
 }
 
 fn peer_at(changed: u64, reached: u64) -> WatchReport {
@@ -82,9 +82,9 @@
         // Between two changes the store's version rises for other reasons, which the peers' digests
         // show.
         for version in (20..620).step_by(10) {
-            vm.relay.hear(change(version - 10, &[row("a", version)]));
-            vm.relay.hear(change(version - 10, &[row("a", version)]));
-            vm.relay.note_peer(&peer_at(version, version + 5));
+            vm.relay.receive(change(version - 10, &[row("a", version)]));
+            vm.relay.receive(change(version - 10, &[row("a", version)]));
+            vm.relay.record_peer_report(&peer_at(version, version + 5));
             pass(1_000).await;
         }
         assert_eq!(vm.drain_updates().len(), 60);
@@ -102,10 +102,10 @@
         let later = Answer::Rows(30, vec![row("a", 25), row("b", 30)]);
         let mut vm = Vm::start(false, [Answer::Rows(9, vec![row("a", 8)]), later]);
         pass(1_000).await;
-        vm.relay.note_peer(&peer_at(8, 20));
+        vm.relay.record_peer_report(&peer_at(8, 20));
         pass(1_000).await;
         assert_eq!(vm.script.calls().len(), 1, "the VM knows all changes that the peer knows");
-        vm.relay.note_peer(&peer_at(30, 30));
+        vm.relay.record_peer_report(&peer_at(30, 30));
         pass(500).await;
         assert_eq!(vm.script.calls()[1..], [Call::Follow(20, Duration::ZERO)]);
         assert_eq!(vm.drain_updates(), ["1 rows", "2 rows"]);
@@ -121,7 +121,7 @@
         let both = Answer::Rows(12, vec![row("a", 11), row("b", 12)]);
         let mut vm = Vm::start(false, [Answer::Rows(9, vec![row("a", 8)]), both]);
         pass(1_000).await;
-        vm.relay.hear(change(11, &[row("b", 12)]));
+        vm.relay.receive(change(11, &[row("b", 12)]));
         pass(50).await;
         assert_eq!(vm.script.calls()[1..], [Call::Follow(9, Duration::ZERO)]);
         assert_eq!(vm.drain_updates(), ["1 rows", "2 rows"]);
@@ -137,15 +137,15 @@
         let news = Answer::Rows(14, vec![row("b", 14)]);
         let mut vm = Vm::start(false, [Answer::Rows(9, vec![row("a", 8)]), news, Answer::Silent]);
         pass(1_000).await;
-        vm.relay.hear(change(8, &[row("a", 12)]));
+        vm.relay.receive(change(8, &[row("a", 12)]));
         pass(50).await;
         assert!(vm.changes.try_recv().is_err(), "a relayed change is not relayed again");
-        vm.relay.set_duty(true);
+        vm.relay.set_must_watch(true);
         pass(50).await;
         assert!(matches!(vm.script.calls()[1], Call::Follow(12, wait) if wait >= PACE.wait));
         assert_eq!(vm.changes.try_recv().expect("a change"), change(12, &[row("b", 14)]));
         assert_eq!(vm.drain_updates(), ["1 rows", "1 rows", "1 rows"]);
-        vm.relay.set_duty(false);
+        vm.relay.set_must_watch(false);
         pass(10_000).await;
         let calls = vm.script.calls().len();
         pass(60_000).await;
@@ -165,7 +165,7 @@
         let mut vm = Vm::start(true, answers);
         pass(3_000).await;
         assert_eq!(vm.drain_updates(), ["1 rows", "SourceLost"]);
-        vm.relay.hear(change(9, &[row("a", 12)]));
+        vm.relay.receive(change(9, &[row("a", 12)]));
         pass(700).await;
         // The change is applied once.
         assert_eq!(vm.drain_updates(), ["1 rows"]);
@@ -191,7 +191,7 @@
         }
         vm.script.answers.borrow_mut().push_front(Answer::Rows(14, vec![row("b", 14)]));
         pass(50).await;
-        vm.nudge.ring_all();
+        vm.refresh.notify_all();
         pass(50).await;
         assert_eq!(vm.drain_updates(), ["SourceBack", "1 rows"]);
     })
@@ -206,12 +206,13 @@
     local(async {
         let (relay, _changes) = FeedRelay::new();
         let (updates, mut received) = mpsc::channel(64);
-        let nudge = Rc::new(FeedNudge::default());
+        let refresh = Rc::new(RefreshSignal::default());
         let fleet_size = Rc::new(Cell::new(9));
         let kept = watch::channel(Vec::new()).1;
         let duties = watch::channel(Vec::new()).1;
-        let channels_nudge = Rc::clone(&nudge);
-        let channels = FeedLine { updates, nudge: channels_nudge, fleet_size, relay, kept, duties };
+        let channels_refresh = Rc::clone(&refresh);
+        let channels =
+            FeedLine { updates, refresh: channels_refresh, fleet_size, relay, kept, duties };
         let follow = |table| {
             let failures = (0..100).map(|_| failed());
             let answers = [Answer::Rows(3, vec![row("a", 3)])].into_iter().chain(failures);
@@ -226,7 +227,7 @@
         let scripts = tables.map(follow);
         pass(PACE.pause.as_millis() as u64 + 1_700).await;
         for _ in 0..8 {
-            nudge.ring_all();
+            refresh.notify_all();
             pass(400).await;
         }
         let calls = |script: &Rc<Script>| script.calls().len();
--- a/crates/ryetide-gateway/tests/table_follower/support.rs
+++ b/crates/ryetide-gateway/tests/table_follower/support.rs
@@ -11,9 +11,9 @@
 use bytes::Bytes;
 use ryetide_core::target_registry::RegistryUpdate;
 use ryetide_gateway::{
-    feed_nudge::FeedNudge,
     feed_relay::FeedRelay,
     ports::{FeedLine, FleetUpdate, LocalFuture},
+    refresh_signal::RefreshSignal,
     store_table::{FleetTable, RowValue, StoreTable, TableFault, TableRow, TableRows},
     table_follower::{RowReader, TableFollower, TablePace},
 };
@@ -102,7 +102,7 @@
         Box::pin(self.rows(Call::Follow(version, wait)))
     }
 
-    fn hang_up(&mut self) {}
+    fn disconnect(&mut self) {}
 
     fn write<'a>(
         &'a mut self,
@@ -126,15 +126,15 @@
 pub struct CountingReader;
 
 impl RowReader for CountingReader {
-    fn whole(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
+    fn whole_table(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
         vec![FleetUpdate::TargetsReached(rows.len() as u64)]
     }
 
     fn changed(&mut self, rows: Vec<TableRow>) -> Vec<FleetUpdate> {
-        self.whole(rows)
+        self.whole_table(rows)
     }
 
-    fn source(&mut self, lost: bool) -> Option<FleetUpdate> {
+    fn source_lost(&mut self, lost: bool) -> Option<FleetUpdate> {
         let update = if lost { RegistryUpdate::SourceLost } else { RegistryUpdate::SourceBack };
         Some(FleetUpdate::Targets(update, 0))
     }
@@ -155,7 +155,7 @@
     let fleet_size = Rc::new(Cell::new(3));
     let channels = FeedLine {
         updates: sender,
-        nudge: Rc::new(FeedNudge::default()),
+        refresh: Rc::new(RefreshSignal::default()),
         fleet_size,
         relay: FeedRelay::new().0,
         kept: watch::channel(Vec::new()).1,
--- a/crates/ryetide-gateway/tests/target_news.rs
+++ b/crates/ryetide-gateway/tests/target_changes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ryetide_core::{target_load::TargetEntry, target_registry::RegistryUpdate, units::Moment};
-use ryetide_gateway::{fleet_view::FleetView, target_news::TargetNews};
+use ryetide_gateway::{fleet_view::FleetView, target_changes::TargetChanges};
 
 fn entry(name: &str, leaving: bool) -> TargetEntry {
     TargetEntry {
@@ -25,7 +25,7 @@
 fn each_target_that_changed_is_named_once() {
     let before = [entry("a", false), entry("b", false), entry("c", false)];
     let after = [entry("a", true), entry("c", false), entry("d", true)];
-    let TargetNews { arrived, leaving, gone } = TargetNews::between(&before, &after);
+    let TargetChanges { arrived, leaving, gone } = TargetChanges::between(&before, &after);
     let listed = [arrived, leaving, gone].map(|names| names.to_string());
     assert_eq!(listed, ["d", "a,d", "b"]);
 }
