--- a/crates/ryetide-gateway/src/decision_log.rs
+++ b/crates/ryetide-gateway/src/decision_log.rs
@@ -47,7 +47,7 @@
 
 /// The durations of the phases of a request, measured from its arrival.
 #[derive(Clone, Copy, Debug)]
-pub struct ExchangeSpans {
+pub struct ExchangeTimings {
     /// Until it was first assigned to a target.
     pub placed: Option<Duration>,
     /// Until the first event of its answer, or until the whole answer if it is not a stream.
@@ -177,7 +177,13 @@
 
     /// Logs that a request was sent but its answer was lost. `reused` tells whether the
     /// connection had been open before.
-    pub fn lost(&self, request: &LogId<'_>, target: &TargetEntry, fault: &SendFault, reused: bool) {
+    pub fn answer_lost(
+        &self,
+        request: &LogId<'_>,
+        target: &TargetEntry,
+        fault: &SendFault,
+        reused: bool,
+    ) {
         if self.permits() {
             tracing::warn!(
                 event = "answer-lost",
@@ -214,7 +220,7 @@
     }
 
     /// Logs a notice that a target sent with an answer.
-    pub fn word(&self, request: &LogId<'_>, target: &TargetEntry, notice: TargetNotice) {
+    pub fn notice(&self, request: &LogId<'_>, target: &TargetEntry, notice: TargetNotice) {
         if self.permits() {
             tracing::info!(
                 event = "target-word",
@@ -302,7 +308,7 @@
         end: RunEnd,
         target: Option<&TargetEntry>,
         attempts: u32,
-        spans: &ExchangeSpans,
+        spans: &ExchangeTimings,
     ) {
         if !self.permits() {
             return;
--- a/crates/ryetide-gateway/src/digest_relay.rs
+++ b/crates/ryetide-gateway/src/digest_relay.rs
@@ -60,7 +60,7 @@
 }
 
 /// Relays queued digests until the task is cancelled.
-pub async fn pass_on(gateway: Rc<Gateway>, link: Rc<PeerLink>) {
+pub async fn relay_digests(gateway: Rc<Gateway>, link: Rc<PeerLink>) {
     let mut sent = Instant::now();
     loop {
         link.relay().arrived.notified().await;
@@ -92,7 +92,7 @@
         all.values().filter(|peer| is_recipient(peer, &own)).cloned().collect();
     drop(all);
     for batch in split(datagrams) {
-        let message = PeerMessage::PassedOn(batch);
+        let message = PeerMessage::Relayed(batch);
         link.send(&PeerEnvelope { from: from.clone(), message }, &recipients);
     }
 }
--- a/crates/ryetide-gateway/src/exchange.rs
+++ b/crates/ryetide-gateway/src/exchange.rs
@@ -27,7 +27,7 @@
 use crate::{
     caller_answer::{CallerResponse, OwnAnswer, OwnReason},
     crash_detector::{BrokenRun, CrashDetector},
-    decision_log::{ExchangeSpans, LogId},
+    decision_log::{ExchangeTimings, LogId},
     gateway_state::Gateway,
     ports::WorkSize,
     quarantine_check::{self, QuarantineOutcome},
@@ -374,7 +374,12 @@
             Err(_) if until == timeout => return SendEnd::TimedOut,
             Err(_) => return SendEnd::Lost(RunFault::Silent),
             Ok(Err(fault)) => {
-                self.gateway.log().lost(&self.log_id(), target, &fault, connection.is_pooled());
+                self.gateway.log().answer_lost(
+                    &self.log_id(),
+                    target,
+                    &fault,
+                    connection.is_pooled(),
+                );
                 return SendEnd::Lost(RunFault::Broken);
             }
             Ok(Ok(response)) => response,
@@ -443,7 +448,7 @@
         }
         if self.first_at.is_none() {
             self.first_at = Some(now);
-            self.gateway.metrics().note_first(self.matched.tier(), now.since(self.arrived));
+            self.gateway.metrics().record_first(self.matched.tier(), now.since(self.arrived));
         }
     }
 
@@ -489,9 +494,9 @@
             }
             self.gateway.metrics().count_outcome("answered");
             let total = now.since(self.arrived);
-            self.gateway.metrics().note_total(self.matched.tier(), total);
+            self.gateway.metrics().record_total(self.matched.tier(), total);
         }
-        let spans = ExchangeSpans {
+        let spans = ExchangeTimings {
             placed: self.placed_at.map(|at| at.since(self.arrived)),
             first: self.first_at.map(|at| at.since(self.arrived)),
             longest_pause: self.longest_pause,
@@ -535,7 +540,7 @@
         self.evidence = Some(evidence);
         self.target = Some(target.clone());
         let waited = now.since(self.arrived);
-        self.gateway.metrics().note_waited(self.matched.tier(), waited);
+        self.gateway.metrics().record_waited(self.matched.tier(), waited);
         let revision = self.gateway.fleet().revision();
         self.gateway.log().placed(&self.log_id(), target, &evidence, waited, revision);
     }
--- a/crates/ryetide-gateway/src/file_feed.rs
+++ b/crates/ryetide-gateway/src/file_feed.rs
@@ -11,7 +11,7 @@
 };
 use tokio::time;
 
-use crate::ports::{FeedLine, FleetFeed, FleetUpdate, LocalFuture, PeerEntry};
+use crate::ports::{FeedChannels, FleetFeed, FleetUpdate, LocalFuture, PeerEntry};
 
 /// How often the file is read; a change takes effect within this time.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
@@ -35,7 +35,7 @@
 
     /// Sends the content of a changed text; an invalid text changes nothing. Returns whether the
     /// gateway still runs.
-    async fn send(&self, text: &str, channels: &FeedLine) -> bool {
+    async fn send(&self, text: &str, channels: &FeedChannels) -> bool {
         let RouteText { table, targets, orders } = match RouteText::parse(text) {
             Ok(text) => text,
             Err(faults) => {
@@ -57,7 +57,7 @@
 }
 
 impl FleetFeed for FileFeed {
-    fn run(self: Box<Self>, _own: PeerEntry, channels: FeedLine) -> LocalFuture<'static, ()> {
+    fn run(self: Box<Self>, _own: PeerEntry, channels: FeedChannels) -> LocalFuture<'static, ()> {
         let answering = answer_duties(channels.clone());
         let reading = async move {
             // The gateway may be ending already.
@@ -91,7 +91,7 @@
 /// Answers the rollout duties that a platform would carry out on its operators' rows. There are
 /// none here: a new order counts as just started, and the decision of the VMs is final. Operators
 /// see it in logs and metrics.
-async fn answer_duties(mut channels: FeedLine) {
+async fn answer_duties(mut channels: FeedChannels) {
     while channels.duties.changed().await.is_ok() {
         let duties = channels.duties.borrow_and_update().clone();
         for RolloutDuty { order, task } in duties {
--- a/crates/ryetide-gateway/src/fleet_duties.rs
+++ b/crates/ryetide-gateway/src/fleet_tasks.rs
@@ -25,7 +25,7 @@
     lag_monitor::{FeedPauses, LagMonitor},
     peer_link::{PeerEnvelope, PeerLink, PeerMessage},
     ports::{FleetUpdate, PeerEntry},
-    quarantine_keeper,
+    quarantine_monitor,
     refresh_signal::RefreshSignal,
     target_changes::NameList,
 };
@@ -45,7 +45,7 @@
 
 /// Applies updates from the fleet feed to the routes, the target registry, the scheduler and the
 /// peers.
-pub struct FleetNewsTaker {
+pub struct FleetUpdateHandler {
     /// The gateway.
     pub gateway: Rc<Gateway>,
     /// The link to the peers.
@@ -54,7 +54,7 @@
     pub fleet_size: Rc<Cell<usize>>,
 }
 
-impl FleetNewsTaker {
+impl FleetUpdateHandler {
     /// Applies updates until the feed ends.
     pub async fn run(self, mut updates: mpsc::Receiver<FleetUpdate>) {
         while let Some(update) = updates.recv().await {
@@ -105,7 +105,7 @@
             let settings = self.gateway.settings().borrow();
             (settings.name.clone(), settings.link)
         };
-        quarantine_keeper::take_kept(&self.gateway, &own, &listed);
+        quarantine_monitor::restore_quarantines(&self.gateway, &own, &listed);
         let others = listed.into_iter().filter(|peer| peer.name != own);
         let others: BTreeMap<VmName, PeerEntry> =
             others.map(|peer| (peer.name.clone(), peer)).collect();
@@ -145,7 +145,7 @@
         if Instant::now() >= digest_at {
             digest_sent = Instant::now();
             pending = false;
-            tell_mates(&gateway, &link, false);
+            send_cell_digest(&gateway, &link, false);
         }
         let urgent = gateway.hub().peek(|it| {
             it.is_quota_short() || it.crashes().has_fresh(now) || it.has_fresh_limit(now)
@@ -154,7 +154,7 @@
         if brief_sent.elapsed() >= interval {
             brief_sent = Instant::now();
             gateway.hub().with(Scheduler::plan_cells);
-            tell_others(&gateway, &link, false);
+            send_brief_digest(&gateway, &link, false);
         }
     }
 }
@@ -198,7 +198,7 @@
 
 /// Relays changes of the store's tables to the passive VMs that rely on this one, until the feed
 /// ends.
-pub async fn pass_changes_on(
+pub async fn relay_changes(
     gateway: Rc<Gateway>,
     link: Rc<PeerLink>,
     mut changes: mpsc::Receiver<RelayedChange>,
@@ -220,7 +220,7 @@
 
 /// Returns which tables peers have read further than this VM.
 fn feed_lag(gateway: &Gateway) -> FeedLag {
-    let (now, state) = (gateway.hub().clock().now(), gateway.news());
+    let (now, state) = (gateway.hub().clock().now(), gateway.fleet_state());
     gateway.hub().peek(|scheduler| scheduler.feed_lag(now, state))
 }
 
@@ -253,9 +253,9 @@
 }
 
 /// Sends a full digest, or the changes since the last one, to the peers of this VM's cell.
-pub fn tell_mates(gateway: &Gateway, link: &PeerLink, leaving: bool) {
+pub fn send_cell_digest(gateway: &Gateway, link: &PeerLink, leaving: bool) {
     let listed = listed_peers(gateway);
-    let (now, state) = (gateway.hub().clock().now(), gateway.news());
+    let (now, state) = (gateway.hub().clock().now(), gateway.fleet_state());
     let recipients = gateway.hub().peek_mut(|scheduler| scheduler.cell_recipients(now, &listed));
     if recipients.is_empty() {
         return;
@@ -265,9 +265,9 @@
 }
 
 /// Sends a brief digest, with what every VM must know, to the peers of other cells.
-pub fn tell_others(gateway: &Gateway, link: &PeerLink, leaving: bool) {
+pub fn send_brief_digest(gateway: &Gateway, link: &PeerLink, leaving: bool) {
     let listed = listed_peers(gateway);
-    let (now, state) = (gateway.hub().clock().now(), gateway.news());
+    let (now, state) = (gateway.hub().clock().now(), gateway.fleet_state());
     let recipients = gateway.hub().peek_mut(|scheduler| scheduler.outside_recipients(now, &listed));
     if recipients.is_empty() {
         return;
@@ -284,7 +284,7 @@
 ) {
     let relays = named_peers(gateway, &recipients.relays);
     if !relays.is_empty() {
-        send_message(gateway, link, PeerMessage::PassOn(digest.clone()), &relays);
+        send_message(gateway, link, PeerMessage::RelayRequest(digest.clone()), &relays);
     }
     let direct = named_peers(gateway, &recipients.direct);
     if !direct.is_empty() {
--- a/crates/ryetide-gateway/src/fleet_view.rs
+++ b/crates/ryetide-gateway/src/fleet_view.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns how current this VM's routes and targets are; the field `watch` is left empty.
-    pub fn news(&self, now: Moment) -> FleetState {
+    pub fn fleet_state(&self, now: Moment) -> FleetState {
         let registry = self.registry.borrow();
         FleetState {
             revision: self.revision(),
--- a/crates/ryetide-gateway/src/gateway.rs
+++ b/crates/ryetide-gateway/src/gateway.rs
@@ -24,15 +24,16 @@
 use crate::{
     caller_listener, digest_relay,
     feed_relay::FeedRelay,
-    fleet_duties::{self, FleetNewsTaker},
+    fleet_tasks::{self, FleetUpdateHandler},
     gateway_state::Gateway,
     peer_link::{self, PeerLink},
     ports::{
-        FeedLine, FleetFeed, GatewaySettings, HeaderNames, PeerEntry, SettingsSource, WorkReader,
+        FeedChannels, FleetFeed, GatewaySettings, HeaderNames, PeerEntry, SettingsSource,
+        WorkReader,
     },
-    quarantine_keeper::QuarantineKeeper,
+    quarantine_monitor::QuarantineMonitor,
     refresh_signal::RefreshSignal,
-    rollout_keeper::RolloutKeeper,
+    rollout_monitor::RolloutMonitor,
     status_port,
 };
 
@@ -164,7 +165,7 @@
         address: settings.peers,
         secret: rand::rng().random(),
         link: settings.link,
-        kept: Vec::new(),
+        quarantines: Vec::new(),
     };
     let scheduler = Scheduler::new(SchedulerOptions {
         name: settings.name.clone(),
@@ -191,30 +192,31 @@
     let pauses = feed.pauses();
     let fleet_size = Rc::new(Cell::new(1));
     let (refresh_signal, feed_fleet_size) = (Rc::clone(&refresh), Rc::clone(&fleet_size));
-    let (keeper, kept) = QuarantineKeeper::new();
-    let (rollout_keeper, rollout_duties) = RolloutKeeper::new();
-    let line = FeedLine {
+    let (keeper, kept) = QuarantineMonitor::new();
+    let (rollout_monitor, rollout_duties) = RolloutMonitor::new();
+    let channels = FeedChannels {
         updates,
         refresh: refresh_signal,
         fleet_size: feed_fleet_size,
         relay,
-        kept,
+        quarantines: kept,
         duties: rollout_duties,
     };
     let link = Rc::new(PeerLink::new(socket, &own));
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(feed.run(own, line));
-    let news = FleetNewsTaker { gateway: Rc::clone(&gateway), link: Rc::clone(&link), fleet_size };
+    tasks.spawn_local(feed.run(own, channels));
+    let news =
+        FleetUpdateHandler { gateway: Rc::clone(&gateway), link: Rc::clone(&link), fleet_size };
     tasks.spawn_local(news.run(receiver));
-    tasks.spawn_local(fleet_duties::schedule(Rc::clone(&gateway), Rc::clone(&link)));
+    tasks.spawn_local(fleet_tasks::schedule(Rc::clone(&gateway), Rc::clone(&link)));
     tasks.spawn_local(peer_link::receive(Rc::clone(&gateway), Rc::clone(&link)));
-    tasks.spawn_local(digest_relay::pass_on(Rc::clone(&gateway), Rc::clone(&link)));
+    tasks.spawn_local(digest_relay::relay_digests(Rc::clone(&gateway), Rc::clone(&link)));
     let sending_changes =
-        fleet_duties::pass_changes_on(Rc::clone(&gateway), Rc::clone(&link), changes);
+        fleet_tasks::relay_changes(Rc::clone(&gateway), Rc::clone(&link), changes);
     tasks.spawn_local(sending_changes);
-    tasks.spawn_local(fleet_duties::sweep(Rc::clone(&gateway), refresh, pauses));
+    tasks.spawn_local(fleet_tasks::sweep(Rc::clone(&gateway), refresh, pauses));
     tasks.spawn_local(keeper.run(Rc::clone(&gateway)));
-    tasks.spawn_local(rollout_keeper.run(Rc::clone(&gateway), Rc::clone(&link)));
+    tasks.spawn_local(rollout_monitor.run(Rc::clone(&gateway), Rc::clone(&link)));
     tasks.spawn_local(status_port::serve(Rc::clone(&gateway), status));
     let accepting = tasks.spawn_local(caller_listener::accept(Rc::clone(&gateway), callers));
     run_commands(&gateway, commands, &*source).await;
@@ -225,8 +227,8 @@
     time::sleep(LAME_DUCK_SPAN.min(grace / 2)).await;
     accepting.abort();
     gateway.closing().notify_waiters();
-    fleet_duties::tell_mates(&gateway, &link, true);
-    fleet_duties::tell_others(&gateway, &link, true);
+    fleet_tasks::send_cell_digest(&gateway, &link, true);
+    fleet_tasks::send_brief_digest(&gateway, &link, true);
     let until = stop_requested_at + grace.saturating_sub(STOP_MARGIN);
     while gateway.connection_count() > 0 && Instant::now() < until {
         time::sleep(STOP_INTERVAL).await;
--- a/crates/ryetide-gateway/src/gateway_metrics.rs
+++ b/crates/ryetide-gateway/src/gateway_metrics.rs
@@ -137,17 +137,17 @@
     }
 
     /// Records how long a request waited for a slot.
-    pub fn note_waited(&self, tier: TierRank, span: Duration) {
+    pub fn record_waited(&self, tier: TierRank, span: Duration) {
         observe(&self.waited, tier, span);
     }
 
     /// Records the time to the first event of an answer.
-    pub fn note_first(&self, tier: TierRank, span: Duration) {
+    pub fn record_first(&self, tier: TierRank, span: Duration) {
         observe(&self.first, tier, span);
     }
 
     /// Records the total time of a request.
-    pub fn note_total(&self, tier: TierRank, span: Duration) {
+    pub fn record_total(&self, tier: TierRank, span: Duration) {
         observe(&self.total, tier, span);
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Counts each part of a notice that a target sent with an answer.
-    pub fn count_word(&self, notice: TargetNotice) {
+    pub fn count_notice(&self, notice: TargetNotice) {
         let parts = [
             ("leaving", notice.leaving),
             ("hold-off", notice.hold_off.is_some()),
--- a/crates/ryetide-gateway/src/gateway_state.rs
+++ b/crates/ryetide-gateway/src/gateway_state.rs
@@ -122,9 +122,9 @@
     }
 
     /// Returns how current this VM's routes and targets are.
-    pub fn news(&self) -> FleetState {
+    pub fn fleet_state(&self) -> FleetState {
         let now = self.hub.clock().now();
-        FleetState { watch: self.relay.watch_report(), ..self.fleet.news(now) }
+        FleetState { watch: self.relay.watch_report(), ..self.fleet.fleet_state(now) }
     }
 
     /// Returns the detector of crashed targets.
--- a/crates/ryetide-gateway/src/gateway_text.rs
+++ b/crates/ryetide-gateway/src/gateway_text.rs
@@ -164,7 +164,7 @@
         address: address?,
         secret,
         link,
-        kept: Vec::new(),
+        quarantines: Vec::new(),
     })
 }
 
--- a/crates/ryetide-gateway/src/lib.rs
+++ b/crates/ryetide-gateway/src/lib.rs
@@ -16,11 +16,11 @@
 //! | module | content |
 //! |---|---|
 //! | [`ports`] | the interface to a platform |
-//! | [`gateway`], [`gateway_state`], [`fleet_duties`] | start and shutdown of a gateway, the state that its tasks share, background tasks |
+//! | [`gateway`], [`gateway_state`], [`fleet_tasks`] | start and shutdown of a gateway, the state that its tasks share, background tasks |
 //! | [`caller_listener`], [`caller_service`], [`exchange`], [`quota_wait`], [`caller_answer`] | the connections and requests of callers |
 //! | [`request_template`], [`target_pool`], [`target_answer`], [`relay`], [`relay_fault`], [`run_fault`], [`event_scanner`], [`target_notices`] | requests to targets and their answers |
-//! | [`crash_detector`], [`quarantine_check`], [`quarantine_keeper`] | requests that crash targets |
-//! | `rollout_keeper`, `rollout_rows` | rollout orders, and their status rows for operators |
+//! | [`crash_detector`], [`quarantine_check`], [`quarantine_monitor`] | requests that crash targets |
+//! | `rollout_monitor`, `rollout_rows` | rollout orders, and their status rows for operators |
 //! | [`scheduler_hub`], [`fleet_view`] | the shared scheduler, the routes and the targets |
 //! | [`store_feed`], [`table_follower`], [`store_table`], [`row_faults`], [`store_outage`], [`feed_relay`], [`lag_monitor`], [`refresh_signal`] | routes, targets and peers from a platform's store |
 //! | [`peer_link`], [`digest_relay`] | messages between entry VMs, and the relay of digests |
@@ -37,7 +37,7 @@
 pub mod exchange;
 pub mod feed_relay;
 pub mod file_feed;
-pub mod fleet_duties;
+pub mod fleet_tasks;
 pub mod fleet_view;
 pub mod gateway;
 pub mod gateway_metrics;
@@ -49,14 +49,14 @@
 pub mod peer_link;
 pub mod ports;
 pub mod quarantine_check;
-pub mod quarantine_keeper;
+pub mod quarantine_monitor;
 pub mod quota_wait;
 pub mod refresh_signal;
 pub mod relay;
 pub mod relay_fault;
 pub mod request_template;
 mod retry_backoff;
-mod rollout_keeper;
+mod rollout_monitor;
 mod rollout_rows;
 pub mod row_faults;
 pub mod run_fault;
--- a/crates/ryetide-gateway/src/peer_link.rs
+++ b/crates/ryetide-gateway/src/peer_link.rs
@@ -48,10 +48,10 @@
     Change(RelayedChange),
     /// The sender's load digest, which the receiver relays: a brief digest to all VMs of the
     /// receiver's data centre, others to the VMs of its cell.
-    PassOn(LoadDigest),
-    /// Relayed datagrams, each a [`PeerMessage::PassOn`] that still carries the hash of its
+    RelayRequest(LoadDigest),
+    /// Relayed datagrams, each a [`PeerMessage::RelayRequest`] that still carries the hash of its
     /// original sender.
-    PassedOn(Vec<Bytes>),
+    Relayed(Vec<Bytes>),
 }
 
 /// A message and the VM that sent it.
@@ -71,7 +71,7 @@
     Unreadable(#[from] postcard::Error),
     /// It is shorter than a keyed hash.
     #[error("datagram is shorter than the keyed hash")]
-    Short,
+    TooShort,
     /// The sender is not a listed peer.
     #[error("sender {0} is not a listed peer")]
     Unlisted(VmName),
@@ -103,7 +103,7 @@
     datagram: &[u8],
     secret_of: impl FnOnce(&VmName) -> Option<PeerSecret>,
 ) -> Result<PeerEnvelope, DatagramFault> {
-    let (tag, body) = datagram.split_at_checked(TAG_LENGTH).ok_or(DatagramFault::Short)?;
+    let (tag, body) = datagram.split_at_checked(TAG_LENGTH).ok_or(DatagramFault::TooShort)?;
     let envelope = decode(body)?;
     let from = envelope.from.clone();
     let secret = secret_of(&from).ok_or_else(|| DatagramFault::Unlisted(from.clone()))?;
@@ -199,11 +199,11 @@
     let PeerEnvelope { from, message } = envelope;
     match message {
         PeerMessage::Digest(digest) => apply_digest(gateway, from, digest),
-        PeerMessage::PassOn(digest) => {
+        PeerMessage::RelayRequest(digest) => {
             link.relay.take(datagram, digest.scope);
             apply_digest(gateway, from, digest);
         }
-        PeerMessage::PassedOn(relayed) => {
+        PeerMessage::Relayed(relayed) => {
             for inner in relayed {
                 handle_relayed(gateway, &inner);
             }
@@ -234,7 +234,7 @@
 /// sender and is not relayed again.
 fn handle_relayed(gateway: &Gateway, datagram: &[u8]) {
     match open_listed(gateway, datagram) {
-        Ok(PeerEnvelope { from, message: PeerMessage::PassOn(digest) }) => {
+        Ok(PeerEnvelope { from, message: PeerMessage::RelayRequest(digest) }) => {
             apply_digest(gateway, from, digest);
         }
         Ok(PeerEnvelope { from, .. }) => {
--- a/crates/ryetide-gateway/src/ports.rs
+++ b/crates/ryetide-gateway/src/ports.rs
@@ -135,13 +135,13 @@
     /// The speed of its link.
     pub link: LinkRate,
     /// The quarantines that it has stored for all VMs.
-    pub kept: Vec<KeptQuarantine>,
+    pub quarantines: Vec<StoredQuarantine>,
 }
 
 /// A request in quarantine, sent to no target because it crashes them, in the form in which it is
 /// stored to survive a restart of all VMs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct KeptQuarantine {
+pub struct StoredQuarantine {
     /// The request.
     #[serde(rename = "print")]
     pub fingerprint: RequestFingerprint,
@@ -173,7 +173,7 @@
 
 /// A feed's ends of the channels between it and the gateway.
 #[derive(Clone)]
-pub struct FeedLine {
+pub struct FeedChannels {
     /// Receives updates. The feed ends when this channel closes.
     pub updates: mpsc::Sender<FleetUpdate>,
     /// Notified when another VM has changes that this one lacks. The feed then repeats its pending
@@ -184,7 +184,7 @@
     /// Relays changes between this VM and its peers.
     pub relay: Rc<FeedRelay>,
     /// The quarantines that this VM stores for all VMs; a feed without a store ignores them.
-    pub kept: watch::Receiver<Vec<KeptQuarantine>>,
+    pub quarantines: watch::Receiver<Vec<StoredQuarantine>>,
     /// The duties that are pending at the operators' rows of rollout orders.
     pub duties: watch::Receiver<Vec<RolloutDuty>>,
 }
@@ -192,7 +192,7 @@
 /// The source of routes, targets and peers.
 pub trait FleetFeed {
     /// Publishes `own` to the other entry VMs, and sends updates until the channel closes.
-    fn run(self: Box<Self>, own: PeerEntry, line: FeedLine) -> LocalFuture<'static, ()>;
+    fn run(self: Box<Self>, own: PeerEntry, line: FeedChannels) -> LocalFuture<'static, ()>;
 
     /// Returns how long the feed may delay changes in order to batch them.
     fn pauses(&self) -> FeedPauses {
--- a/crates/ryetide-gateway/src/quarantine_keeper.rs
+++ b/crates/ryetide-gateway/src/quarantine_monitor.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     gateway_state::Gateway,
-    ports::{KeptQuarantine, PeerEntry},
+    ports::{PeerEntry, StoredQuarantine},
     unix_time,
 };
 
@@ -24,13 +24,13 @@
 const REWRITE_INTERVAL: Duration = Duration::from_secs(QUARANTINE_TTL.as_secs() / 2);
 
 /// Expires, logs and stores the quarantines of one VM.
-pub struct QuarantineKeeper {
-    stored: watch::Sender<Vec<KeptQuarantine>>,
+pub struct QuarantineMonitor {
+    stored: watch::Sender<Vec<StoredQuarantine>>,
 }
 
-impl QuarantineKeeper {
+impl QuarantineMonitor {
     /// Creates an instance, and the receiver through which the feed learns what to store.
-    pub fn new() -> (Self, watch::Receiver<Vec<KeptQuarantine>>) {
+    pub fn new() -> (Self, watch::Receiver<Vec<StoredQuarantine>>) {
         let (stored, receiver) = watch::channel(Vec::new());
         (Self { stored }, receiver)
     }
@@ -58,7 +58,7 @@
         }
         gateway.metrics().set_quarantined(count);
         let now_ms = unix_time::millis();
-        let found: Vec<KeptQuarantine> =
+        let found: Vec<StoredQuarantine> =
             reports.iter().map(|report| to_stored(report, now_ms)).collect();
         self.stored.send_if_modified(|before| {
             let changed = must_write(before, &found);
@@ -72,11 +72,11 @@
 
 /// Adds the quarantines that VMs have stored, including those that an earlier incarnation of this
 /// VM stored.
-pub fn take_kept(gateway: &Gateway, own: &VmName, listed: &[PeerEntry]) {
+pub fn restore_quarantines(gateway: &Gateway, own: &VmName, listed: &[PeerEntry]) {
     let now = gateway.hub().clock().now();
     let now_ms = unix_time::millis();
     for peer in listed {
-        for stored in &peer.kept {
+        for stored in &peer.quarantines {
             let report = to_report(stored, now_ms);
             let is_own = peer.name == *own;
             gateway.hub().peek_mut(|it| it.crashes_mut().take_stored(now, &report, is_own));
@@ -85,17 +85,17 @@
 }
 
 /// Returns whether the stored quarantines `before` must be replaced by the current ones, `found`.
-pub fn must_write(before: &[KeptQuarantine], found: &[KeptQuarantine]) -> bool {
+pub fn must_write(before: &[StoredQuarantine], found: &[StoredQuarantine]) -> bool {
     let rewrite_ms = REWRITE_INTERVAL.as_millis() as u64;
-    let is_current = |now: &KeptQuarantine| {
+    let is_current = |now: &StoredQuarantine| {
         let mut same = before.iter().filter(|it| it.fingerprint == now.fingerprint);
         same.any(|it| now.asked_ms < it.asked_ms.saturating_add(rewrite_ms))
     };
     before.len() != found.len() || !found.iter().all(is_current)
 }
 
-fn to_stored(report: &QuarantineReport, now_ms: u64) -> KeptQuarantine {
-    KeptQuarantine {
+fn to_stored(report: &QuarantineReport, now_ms: u64) -> StoredQuarantine {
+    StoredQuarantine {
         fingerprint: report.fingerprint,
         since_ms: now_ms.saturating_sub(u64::from(report.age_ms)),
         asked_ms: now_ms.saturating_sub(u64::from(report.asked_ms)),
@@ -104,7 +104,7 @@
 
 /// Converts a stored quarantine to a report. The clocks of two VMs may differ by seconds, which is
 /// short compared with the duration of a quarantine.
-fn to_report(stored: &KeptQuarantine, now_ms: u64) -> QuarantineReport {
+fn to_report(stored: &StoredQuarantine, now_ms: u64) -> QuarantineReport {
     let age = |at_ms: u64| u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX);
     let (age_ms, asked_ms) = (age(stored.since_ms), age(stored.asked_ms));
     QuarantineReport { fingerprint: stored.fingerprint, age_ms, asked_ms }
--- a/crates/ryetide-gateway/src/rollout_keeper.rs
+++ b/crates/ryetide-gateway/src/rollout_monitor.rs
@@ -11,17 +11,17 @@
 };
 use tokio::{sync::watch, time};
 
-use crate::{fleet_duties, gateway_state::Gateway, peer_link::PeerLink};
+use crate::{fleet_tasks, gateway_state::Gateway, peer_link::PeerLink};
 
 /// The interval at which orders are evaluated.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Evaluates the rollout orders at one VM and reports their progress.
-pub struct RolloutKeeper {
+pub struct RolloutMonitor {
     duties: watch::Sender<Vec<RolloutDuty>>,
 }
 
-impl RolloutKeeper {
+impl RolloutMonitor {
     /// Creates an instance, and the receiver through which the feed learns of duties at the
     /// operators' rows.
     pub fn new() -> (Self, watch::Receiver<Vec<RolloutDuty>>) {
@@ -59,8 +59,8 @@
             // Peers must learn of the change at once: a version that failed its trial must get no
             // more requests at any VM, and a VM that waits to write the operators' row need not do
             // so.
-            fleet_duties::tell_mates(gateway, link, false);
-            fleet_duties::tell_others(gateway, link, false);
+            fleet_tasks::send_cell_digest(gateway, link, false);
+            fleet_tasks::send_brief_digest(gateway, link, false);
         }
         let now = gateway.hub().clock().now();
         let found = gateway.hub().peek(|scheduler| scheduler.rollout_duties(now));
--- a/crates/ryetide-gateway/src/rollout_rows.rs
+++ b/crates/ryetide-gateway/src/rollout_rows.rs
@@ -14,7 +14,7 @@
 use tokio::time;
 
 use crate::{
-    ports::{FeedLine, FleetUpdate},
+    ports::{FeedChannels, FleetUpdate},
     store_feed::FleetStore,
     store_table::{FleetTable, StoreTable, TableFault, TableRow},
     unix_time,
@@ -48,7 +48,7 @@
 /// Performs the duties of rollout orders at their rows in the store.
 pub struct RolloutRows {
     store: Rc<dyn FleetStore>,
-    channels: FeedLine,
+    channels: FeedChannels,
 }
 
 /// Why a duty could not be performed.
@@ -64,7 +64,7 @@
 
 impl RolloutRows {
     /// Creates an instance that performs the duties received over `channels`.
-    pub fn new(store: Rc<dyn FleetStore>, channels: FeedLine) -> Self {
+    pub fn new(store: Rc<dyn FleetStore>, channels: FeedChannels) -> Self {
         Self { store, channels }
     }
 
--- a/crates/ryetide-gateway/src/store_feed.rs
+++ b/crates/ryetide-gateway/src/store_feed.rs
@@ -20,8 +20,10 @@
 
 use crate::{
     lag_monitor::FeedPauses,
-    ports::{FeedLine, FleetFeed, FleetUpdate, KeptQuarantine, LocalFuture, PeerEntry, PeerSecret},
-    quarantine_keeper,
+    ports::{
+        FeedChannels, FleetFeed, FleetUpdate, LocalFuture, PeerEntry, PeerSecret, StoredQuarantine,
+    },
+    quarantine_monitor,
     rollout_rows::RolloutRows,
     row_faults::RowFaults,
     store_table::{FleetTable, RowValue, StoreTable, TableRow},
@@ -112,7 +114,7 @@
     link: LinkRate,
     /// Requests under quarantine, stored so that they survive when all VMs are killed at once.
     #[serde(default)]
-    kept: Vec<KeptQuarantine>,
+    kept: Vec<StoredQuarantine>,
 }
 
 impl VmRow {
@@ -163,7 +165,7 @@
         FeedPauses { routes: routes.pause, targets: targets.pause }
     }
 
-    fn run(self: Box<Self>, own: PeerEntry, channels: FeedLine) -> LocalFuture<'static, ()> {
+    fn run(self: Box<Self>, own: PeerEntry, channels: FeedChannels) -> LocalFuture<'static, ()> {
         let (routes_pace, targets_pace) = (self.bounds.routes_pace(), self.bounds.targets_pace());
         let store = self.store;
         let faults = RowFaults::default;
@@ -206,7 +208,7 @@
     mut table: Box<dyn StoreTable>,
     own: &PeerEntry,
     mut found: watch::Receiver<Option<FoundRow>>,
-    channels: FeedLine,
+    channels: FeedChannels,
 ) {
     let Some(FoundRow { mut version, row: left }) = next_found(&mut found).await else { return };
     let mut row = VmRow {
@@ -247,12 +249,16 @@
     /// Writes the row again whenever the requests under quarantine change, and when a read of the
     /// whole table shows another row than the one written, since the store was restored from a
     /// copy.
-    async fn keep(mut self, mut found: watch::Receiver<Option<FoundRow>>, mut channels: FeedLine) {
+    async fn keep(
+        mut self,
+        mut found: watch::Receiver<Option<FoundRow>>,
+        mut channels: FeedChannels,
+    ) {
         loop {
             tokio::select! {
-                changed = channels.kept.changed() => match changed {
+                changed = channels.quarantines.changed() => match changed {
                     Ok(()) => {
-                        let kept = channels.kept.borrow_and_update().clone();
+                        let kept = channels.quarantines.borrow_and_update().clone();
                         self.store_quarantines(kept).await;
                     }
                     // The gateway is ending.
@@ -267,9 +273,9 @@
         }
     }
 
-    async fn store_quarantines(&mut self, kept: Vec<KeptQuarantine>) {
+    async fn store_quarantines(&mut self, kept: Vec<StoredQuarantine>) {
         // A VM that has just started has restored its quarantines from this row.
-        if !quarantine_keeper::must_write(&self.row.kept, &kept) {
+        if !quarantine_monitor::must_write(&self.row.kept, &kept) {
             return;
         }
         self.row.kept = kept;
@@ -466,7 +472,8 @@
             let decoded = row.value.bytes().map(|value| serde_json::from_slice::<VmRow>(value));
             if let Some(Ok(VmRow { data_centre, address, secret, link, kept })) = decoded {
                 let name = row.key.as_str().into();
-                let peer = PeerEntry { name, data_centre, address, secret, link, kept };
+                let peer =
+                    PeerEntry { name, data_centre, address, secret, link, quarantines: kept };
                 self.known.insert(row.key, peer);
                 continue;
             }
--- a/crates/ryetide-gateway/src/table_follower.rs
+++ b/crates/ryetide-gateway/src/table_follower.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     feed_relay::RelayedChange,
-    ports::{FeedLine, FleetUpdate},
+    ports::{FeedChannels, FleetUpdate},
     retry_backoff::{self, RetryBackoff},
     store_table::{FleetTable, StoreTable, TableFault, TableRow, TableRows},
 };
@@ -141,7 +141,7 @@
     table: Box<dyn StoreTable>,
     pace: TablePace,
     reader: R,
-    channels: FeedLine,
+    channels: FeedChannels,
     /// The highest version seen.
     version: u64,
     /// The version of the newest change seen.
@@ -162,7 +162,12 @@
 
 impl<R: RowReader> TableFollower<R> {
     /// Creates a follower that sends the updates which `reader` decodes to `channels`.
-    pub fn new(table: Box<dyn StoreTable>, pace: TablePace, reader: R, channels: FeedLine) -> Self {
+    pub fn new(
+        table: Box<dyn StoreTable>,
+        pace: TablePace,
+        reader: R,
+        channels: FeedChannels,
+    ) -> Self {
         Self {
             table,
             pace,
--- a/crates/ryetide-gateway/src/target_notices.rs
+++ b/crates/ryetide-gateway/src/target_notices.rs
@@ -6,7 +6,7 @@
     units::Moment,
 };
 
-use crate::{decision_log::LogId, fleet_duties, gateway_state::Gateway};
+use crate::{decision_log::LogId, fleet_tasks, gateway_state::Gateway};
 
 /// Applies a notice of `target` in an answer to `request`. A target that leaves gets no more
 /// requests from this VM, and a target with a rate limit gets no more than that. `sent_at` is when
@@ -22,8 +22,8 @@
     if notice.is_empty() {
         return;
     }
-    gateway.metrics().count_word(notice);
-    gateway.log().word(request, target, notice);
+    gateway.metrics().count_notice(notice);
+    gateway.log().notice(request, target, notice);
     let key = target.key();
     if let Some(span) = notice.hold_off {
         gateway.hub().with(|scheduler, now| scheduler.back_off(now, key, span));
@@ -31,7 +31,7 @@
     let now = gateway.hub().clock().now();
     let registry = gateway.fleet().registry();
     if notice.leaving && registry.borrow_mut().leaving_notices_mut().record(now, key) {
-        fleet_duties::refresh_targets(gateway);
+        fleet_tasks::refresh_targets(gateway);
     }
 }
 
@@ -67,6 +67,6 @@
         reports.iter().filter(|report| registry.leaving_notices_mut().merge(now, **report)).count();
     drop(registry);
     if new > 0 {
-        fleet_duties::refresh_targets(gateway);
+        fleet_tasks::refresh_targets(gateway);
     }
 }
--- a/crates/ryetide-gateway/tests/serving/digests.rs
+++ b/crates/ryetide-gateway/tests/serving/digests.rs
@@ -37,7 +37,7 @@
             address,
             secret: [key; 32],
             link: LinkRate(0),
-            kept: Vec::new(),
+            quarantines: Vec::new(),
         };
         Self { entry, socket }
     }
@@ -58,7 +58,7 @@
             let Ok(envelope) = peer_link::open(&buffer[..length], |_| Some(OWN_SECRET)) else {
                 continue;
             };
-            if let PeerMessage::PassedOn(passed) = envelope.message {
+            if let PeerMessage::Relayed(passed) = envelope.message {
                 return passed.first().expect("a datagram").to_vec();
             }
         }
@@ -91,7 +91,7 @@
     let mut sequence = 0;
     loop {
         sequence += 1;
-        let sent = far.send(gateway, PeerMessage::PassOn(brief(sequence))).await;
+        let sent = far.send(gateway, PeerMessage::RelayRequest(brief(sequence))).await;
         if let Ok(relayed) = time::timeout(DATAGRAM_TIMEOUT, near.next_relayed()).await {
             return (sent, relayed);
         }
@@ -109,7 +109,7 @@
         let secret = far.entry.secret;
         let secret_of = |name: &VmName| (*name == far.entry.name).then_some(secret);
         let envelope = peer_link::open(&relayed, secret_of).expect("the sender's own hash");
-        assert!(matches!(envelope.message, PeerMessage::PassOn(_)));
+        assert!(matches!(envelope.message, PeerMessage::RelayRequest(_)));
     });
 }
 
@@ -120,7 +120,7 @@
     support::run(async {
         let (gateway, near, far) = start().await;
         let (sent, _) = relay_one(&gateway, &near, &far).await;
-        near.send(&gateway, PeerMessage::PassedOn(vec![sent.into()])).await;
+        near.send(&gateway, PeerMessage::Relayed(vec![sent.into()])).await;
         assert!(time::timeout(DATAGRAM_TIMEOUT, near.next_relayed()).await.is_err());
     });
 }
--- a/crates/ryetide-gateway/tests/serving/support.rs
+++ b/crates/ryetide-gateway/tests/serving/support.rs
@@ -25,7 +25,7 @@
 use ryetide_gateway::{
     gateway::{self, GatewayCommand, GatewayParts, GatewaySockets},
     ports::{
-        FeedLine, FleetFeed, FleetUpdate, GatewaySettings, HeaderNames, LocalFuture, PeerEntry,
+        FeedChannels, FleetFeed, FleetUpdate, GatewaySettings, HeaderNames, LocalFuture, PeerEntry,
         SettingsSource, WorkReader, WorkSize,
     },
 };
@@ -279,10 +279,14 @@
 }
 
 impl FleetFeed for TestFeed {
-    fn run(mut self: Box<Self>, _own: PeerEntry, line: FeedLine) -> LocalFuture<'static, ()> {
+    fn run(
+        mut self: Box<Self>,
+        _own: PeerEntry,
+        channels: FeedChannels,
+    ) -> LocalFuture<'static, ()> {
         Box::pin(async move {
             while let Some(update) = self.updates.recv().await {
-                line.updates.send(update).await.expect("a gateway that receives updates");
+                channels.updates.send(update).await.expect("a gateway that receives updates");
             }
             std::future::pending::<()>().await;
         })
@@ -428,7 +432,7 @@
         address: gateway.peers,
         secret: [key; 32],
         link: LinkRate(0),
-        kept: Vec::new(),
+        quarantines: Vec::new(),
     }
 }
 
--- a/crates/ryetide-gateway/tests/table_follower/model_store.rs
+++ b/crates/ryetide-gateway/tests/table_follower/model_store.rs
@@ -24,7 +24,7 @@
 use ryetide_gateway::{
     feed_relay::{FeedRelay, RelayedChange},
     fleet_view::FleetView,
-    ports::{FeedLine, FleetFeed, FleetUpdate, LocalFuture, PeerEntry},
+    ports::{FeedChannels, FleetFeed, FleetUpdate, LocalFuture, PeerEntry},
     refresh_signal::RefreshSignal,
     store_feed::{FeedBounds, FleetStore, StoreFeed},
     store_table::{FleetTable, RowValue, StoreTable, TableFault, TableRow, TableRows},
@@ -327,12 +327,12 @@
         });
         let fleet = ModelFleet { store: Rc::clone(store), path: Rc::clone(&vm.path) };
         let (updates, received) = mpsc::channel(64);
-        let channels = FeedLine {
+        let channels = FeedChannels {
             updates,
             refresh: Rc::clone(&vm.refresh),
             fleet_size: Rc::new(Cell::new(65)),
             relay,
-            kept: watch::channel(Vec::new()).1,
+            quarantines: watch::channel(Vec::new()).1,
             duties: watch::channel(Vec::new()).1,
         };
         let own = PeerEntry {
@@ -341,7 +341,7 @@
             address: std::net::SocketAddr::from(([10, 1, 0, 25], 7600)),
             secret: [7; 32],
             link: LinkRate(0),
-            kept: Vec::new(),
+            quarantines: Vec::new(),
         };
         task::spawn_local(Box::new(StoreFeed::new(fleet, bounds)).run(own, channels));
         task::spawn_local(Rc::clone(&vm).apply_updates(received));
--- a/crates/ryetide-gateway/tests/table_follower/passive.rs
+++ b/crates/ryetide-gateway/tests/table_follower/passive.rs
@@ -5,7 +5,7 @@
 use ryetide_core::watcher_selection::{FeedPosition, WatchReport};
 use ryetide_gateway::{
     feed_relay::{FeedRelay, RelayedChange},
-    ports::{FeedLine, FleetUpdate},
+    ports::{FeedChannels, FleetUpdate},
     refresh_signal::RefreshSignal,
     store_table::{FleetTable, TableRow},
     table_follower::{TableFollower, TablePace},
@@ -35,12 +35,12 @@
         relay.set_must_watch(must_watch);
         let (sender, updates) = mpsc::channel(64);
         let refresh = Rc::new(RefreshSignal::default());
-        let channels = FeedLine {
+        let channels = FeedChannels {
             updates: sender,
             refresh: Rc::clone(&refresh),
             fleet_size: Rc::new(Cell::new(70)),
             relay: Rc::clone(&relay),
-            kept: watch::channel(Vec::new()).1,
+            quarantines: watch::channel(Vec::new()).1,
             duties: watch::channel(Vec::new()).1,
         };
         let follower = TableFollower::new(script.table(), PACE, CountingReader, channels);
@@ -211,8 +211,14 @@
         let kept = watch::channel(Vec::new()).1;
         let duties = watch::channel(Vec::new()).1;
         let channels_refresh = Rc::clone(&refresh);
-        let channels =
-            FeedLine { updates, refresh: channels_refresh, fleet_size, relay, kept, duties };
+        let channels = FeedChannels {
+            updates,
+            refresh: channels_refresh,
+            fleet_size,
+            relay,
+            quarantines: kept,
+            duties,
+        };
         let follow = |table| {
             let failures = (0..100).map(|_| failed());
             let answers = [Answer::Rows(3, vec![row("a", 3)])].into_iter().chain(failures);
--- a/crates/ryetide-gateway/tests/table_follower/support.rs
+++ b/crates/ryetide-gateway/tests/table_follower/support.rs
@@ -12,7 +12,7 @@
 use ryetide_core::target_registry::RegistryUpdate;
 use ryetide_gateway::{
     feed_relay::FeedRelay,
-    ports::{FeedLine, FleetUpdate, LocalFuture},
+    ports::{FeedChannels, FleetUpdate, LocalFuture},
     refresh_signal::RefreshSignal,
     store_table::{FleetTable, RowValue, StoreTable, TableFault, TableRow, TableRows},
     table_follower::{RowReader, TableFollower, TablePace},
@@ -153,12 +153,12 @@
 pub async fn follow(script: &Rc<Script>, span: Duration) -> Vec<String> {
     let (sender, mut updates) = mpsc::channel(64);
     let fleet_size = Rc::new(Cell::new(3));
-    let channels = FeedLine {
+    let channels = FeedChannels {
         updates: sender,
         refresh: Rc::new(RefreshSignal::default()),
         fleet_size,
         relay: FeedRelay::new().0,
-        kept: watch::channel(Vec::new()).1,
+        quarantines: watch::channel(Vec::new()).1,
         duties: watch::channel(Vec::new()).1,
     };
     let follower = TableFollower::new(script.table(), PACE, CountingReader, channels);
